--- a/libs/daemon/src/trefoil_daemon/pools.py
+++ b/libs/daemon/src/trefoil_daemon/pools.py
@@ -6,7 +6,7 @@
 from trefoil_model import clock as clocks
 from trefoil_model import errors
 from trefoil_requests import effects
-from trefoil_requests import silence
+from trefoil_requests import silent_connections
 from trefoil_wire import messages
 
 from . import _http
@@ -102,7 +102,9 @@
         self.max_body = max_body
         self.idle: dict[int, list[TargetConnection]] = {}
         self.busy: dict[int, TargetConnection] = {}
-        self.watches: dict[WatchKey, silence.SilenceWatch] = {}
+        self.watches: dict[
+            WatchKey, silent_connections.SilentConnectionDetector
+        ] = {}
 
     def dispatch(self, effect: effects.Dispatch) -> None:
         """Send a request to a target."""
@@ -155,7 +157,11 @@
             for request_id in watch.silent(now_ms):
                 self._silent(request_id, watch)
 
-    def _silent(self, request_id: int, watch: silence.SilenceWatch) -> None:
+    def _silent(
+        self,
+        request_id: int,
+        watch: silent_connections.SilentConnectionDetector,
+    ) -> None:
         connection = self.busy.pop(request_id, None)
         watch.dropped(request_id)
         if connection is None:
@@ -185,11 +191,13 @@
 
     def _watch(
         self, port: int, request: messages.Request
-    ) -> silence.SilenceWatch:
+    ) -> silent_connections.SilentConnectionDetector:
         key = WatchKey(port, request.route or "")
         watch = self.watches.get(key)
         if watch is None:
-            watch = self.watches[key] = silence.SilenceWatch()
+            watch = self.watches[key] = (
+                silent_connections.SilentConnectionDetector()
+            )
         return watch
 
     def _take(self, port: int, now_ms: int) -> TargetConnection:
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -110,7 +110,7 @@
             targets=self.targets,
             rng=rng,
         )
-        self.entry.accounts.most_ratio = settings.retry_ratio
+        self.entry.accounting.max_ratio = settings.retry_ratio
         self.announced = announcements.Announcements(settings.lease_ms)
         self.collectors: dict[str, evidences.Collector] = {}
         self.guards: dict[str, judges.Judge] = {}
@@ -144,7 +144,7 @@
             route.name: route.service_name for route in table.routes
         }
         self.targets.keep_routes(self.route_service)
-        self.targets.limit_cold(self._cold_limits(table))
+        self.targets.set_cold_limits(self._cold_limits(table))
         self.records_changed()
         self._follow_evacuation(table)
         self._update_collectors(table)
@@ -201,7 +201,7 @@
             # one more: it has just joined, and is not known here.
             hosts = len(records.by_host) + 1
             reserve = self.settings.retry_slack / hosts
-            self.entry.accounts.share_slack(reserve)
+            self.entry.accounting.share_slack(reserve)
 
     def reconfigure(self, settings: setting_store.ProxySettings) -> None:
         """Take changed settings."""
@@ -453,7 +453,7 @@
         if not self.announced.remove(name):
             return False
         self._publish_targets(now_ms)
-        self.perform(self.targets.drop_target(name, now_ms))
+        self.perform(self.targets.remove_target(name, now_ms))
         self.carrier.note(
             common.Note("target.left", {"target": name, "why": why})
         )
@@ -461,16 +461,18 @@
 
     def _publish_targets(self, now_ms: int) -> None:
         names = [] if self.handed_over else sorted(self.announced.by_name)
-        records = [self.targets.told(name, now_ms) for name in names]
+        records = [
+            self.targets.advertised_record(name, now_ms) for name in names
+        ]
         self.perform(self.node.set_targets(records, now_ms))
 
     def _tell_of_targets(self, now_ms: int) -> None:
         """Tell other proxies how fast targets are, and which are cold."""
         paces_due = now_ms >= self.pace_at_ms
-        if paces_due and self.targets.has_paces_to_tell():
+        if paces_due and self.targets.has_processing_times_to_report():
             self.pace_at_ms = now_ms + TELL_PACE_MS
             self._publish_targets(now_ms)
-        elif self.targets.has_turned(now_ms):
+        elif self.targets.has_cold_state_changed(now_ms):
             self._publish_targets(now_ms)
 
     def target_warmup(self, target: str, left_ms: int) -> None:
@@ -505,7 +507,9 @@
     def target_broke(self, request_id: int) -> None:
         """Note a local target's connection that broke."""
         self.perform(
-            self.targets.on_target_broke(request_id, self.clock.now_ms())
+            self.targets.on_target_disconnected(
+                request_id, self.clock.now_ms()
+            )
         )
 
     # Time
@@ -528,7 +532,7 @@
         self._guard(now_ms)
         self._report(now_ms)
         self._tell_of_targets(now_ms)
-        self.perform(self.spending.tell(self.entry.accounts.budgets, now_ms))
+        self.perform(self.spending.tell(self.entry.accounting.budgets, now_ms))
         self._hand_over_in_time(now_ms)
         self.relay.tick(now_ms)
 
@@ -556,8 +560,8 @@
             "calls_waiting": len(self.entry.live),
             "targets_known": len(self.entry.placing.endpoints.by_key),
             "running_here": len(self.targets.running),
-            "bodies_waiting": len(self.targets.arrivals.waiting),
-            "body_wait_ms": self.targets.arrivals.expected_ms(
+            "bodies_waiting": len(self.targets.incoming_bodies.waiting),
+            "body_wait_ms": self.targets.incoming_bodies.expected_ms(
                 self.clock.now_ms()
             ),
             "ready": float(self.ready),
@@ -566,7 +570,7 @@
 
     def families(self) -> list[exposition.Family]:
         """Return repeats and budgets by service, and slots by target."""
-        repeats = budget_metrics.families(self.entry.accounts.budgets)
+        repeats = budget_metrics.families(self.entry.accounting.budgets)
         return repeats + slot_metrics.families(self.targets.targets.values())
 
     # Leaving
@@ -708,7 +712,7 @@
 
 
 @carry.register
-def _(effect: bodies.Ask, process: ProxyProcess) -> None:
+def _(effect: bodies.ChunkRequest, process: ProxyProcess) -> None:
     process.reply(effect.origin, effect.pull)
 
 
@@ -760,7 +764,7 @@
 @receive.register
 def _(message: messages.BodyPiece, process: ProxyProcess, origin: str) -> None:
     process.perform(
-        process.targets.on_body_piece(message, process.clock.now_ms())
+        process.targets.on_body_chunk(message, process.clock.now_ms())
     )
 
 
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -288,7 +288,7 @@
 
     def let_repeat(self, host: str) -> None:
         """Give a proxy some repeats; a start has saved none."""
-        self.processes[host].entry.accounts.budgets["tables"].tokens = 5.0
+        self.processes[host].entry.accounting.budgets["tables"].tokens = 5.0
 
     def final(self, host: str, call_id: int) -> calls.Final | None:
         """Return a call's final answer."""
@@ -323,7 +323,7 @@
 
     def fresh_key(self, name: str) -> str:
         """Return a key that tells when it was issued."""
-        return f"{self.clock.wall_ms() + 2 * ledgers.SKEW_MS}-{name}"
+        return f"{self.clock.wall_ms() + 2 * ledgers.MAX_CLOCK_SKEW_MS}-{name}"
 
 
 def test_a_call_is_answered_by_its_target() -> None:
@@ -475,7 +475,7 @@
     is known even when every keeper has restarted since.
     """
     net = Net(hosts=["h1", "h2", "h3"])
-    net.advance(ledgers.KEEP_MS)
+    net.advance(ledgers.RETENTION_MS)
     key = "untimed"
     net.call("h1", "/pay", "a", key)
     net.settle()
@@ -707,9 +707,9 @@
     the next host; the one after it goes there at once.
     """
     net = Net(hosts=["h1", "h2", "h3"])
-    arrivals = net.processes["h2"].targets.arrivals
-    arrivals.want(99, "x", 10_000_000, 0, net.clock.now_ms())
-    arrivals.bytes_a_ms = 700
+    incoming_bodies = net.processes["h2"].targets.incoming_bodies
+    incoming_bodies.add(99, "x", 10_000_000, 0, net.clock.now_ms())
+    incoming_bodies.bytes_per_ms = 700
     net.processes["h3"].target_leaves("t-h3", "test")
     number = uploads(net)
     net.boot_target("h3")
@@ -737,13 +737,19 @@
     net.settle()
     assert net.running() == []
     targets = net.processes["h2"].targets
-    assert (targets.busy("t-h2"), len(targets.arrivals.waiting)) == (0, 1)
+    assert (targets.busy("t-h2"), len(targets.incoming_bodies.waiting)) == (
+        0,
+        1,
+    )
     net.clock.advance(1950)
     net.processes["h2"].tick()
     net.settle()
     final = net.final("h1", number)
     assert (final.status, final.ran) == (503, False)
-    assert (targets.busy("t-h2"), len(targets.arrivals.waiting)) == (0, 0)
+    assert (targets.busy("t-h2"), len(targets.incoming_bodies.waiting)) == (
+        0,
+        0,
+    )
 
 
 def test_a_caller_that_leaves_stops_its_body(
@@ -757,7 +763,7 @@
     net.settle()
     target_side = net.processes["h2"].targets
     assert target_side.busy("t-h2") == 0
-    assert target_side.arrivals.waiting == {}
+    assert target_side.incoming_bodies.waiting == {}
 
 
 def started_early(net: Net, deadline_ms: int) -> calls.Call:
@@ -978,7 +984,7 @@
     net.settle()
     assert net.final("h1", 1).status == 503
     assert net.processes["h1"].entry.balancer.view("h1/t-h1").losses == 0
-    made = net.processes["h1"].entry.accounts.budgets["tables"]
+    made = net.processes["h1"].entry.accounting.budgets["tables"]
     assert made.tokens == -budget.CALL_PRICE
     assert made.spent[budget.Cause.CALLED] == 1
 
@@ -1024,7 +1030,7 @@
         self.net = Net(seed)
         self.keys: dict[str, str] = {}
         if old:
-            self.net.advance(ledgers.KEEP_MS)
+            self.net.advance(ledgers.RETENTION_MS)
 
     @stateful.rule(host=hosts, name=names, timed=st.booleans())
     def a_caller_sends(self, host: str, name: str, timed: bool) -> None:
--- a/libs/emulator/src/trefoil_emulator/core_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/core_fleet.py
@@ -309,7 +309,7 @@
                     self._run(host, effect.request)
                 case effects.Reply():
                     self._reply(host, effect)
-                case bodies.Ask():
+                case bodies.ChunkRequest():
                     self._pull(host, effect)
                 case effects.Tell(message=messages.BodyPiece() as piece):
                     self._give_piece(host, effect.host, piece)
@@ -359,7 +359,7 @@
 
         self._at(begins_ms, enter)
 
-    def _pull(self, host: Host, ask: bodies.Ask) -> None:
+    def _pull(self, host: Host, ask: bodies.ChunkRequest) -> None:
         origin = self.hosts[ask.origin]
 
         def come() -> None:
@@ -373,7 +373,7 @@
         there = self.hosts[name]
 
         def come() -> None:
-            found = there.targets.on_body_piece(piece, int(self.now_ms))
+            found = there.targets.on_body_chunk(piece, int(self.now_ms))
             self._carry(there, found)
 
         self._travel(host, there, piece, come)
--- a/libs/emulator/src/trefoil_emulator/troubled_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/troubled_fleet.py
@@ -194,7 +194,9 @@
         known = self.known[name]
         host = self.hosts[name]
         host.entry.records_changed(known, int(self.now_ms))
-        host.entry.accounts.share_slack(self.slack / (len(known.by_host) + 1))
+        host.entry.accounting.share_slack(
+            self.slack / (len(known.by_host) + 1)
+        )
         host.targets.origins.hosts = attribution.hosts_by_services(
             [target.service_name for target in record.targets]
             for record in known.present()
@@ -468,7 +470,7 @@
         def told() -> None:
             now_ms = int(self.now_ms)
             if not status:
-                found = host.targets.on_target_broke(
+                found = host.targets.on_target_disconnected(
                     request.request_id, now_ms
                 )
             else:
--- a/libs/emulator/tests/test_core_fleet.py
+++ b/libs/emulator/tests/test_core_fleet.py
@@ -105,7 +105,7 @@
     "look-up", 400, 33, 139, 462, 460, 1, 0.5, answer_bytes=1500
 )
 # A link of 2 Mbit/s, less what the host's own callers take of it.
-LINK_BYTES_A_MS = 210.0
+LINK_BYTES_PER_MS = 210.0
 
 
 def test_fast_targets_do_not_fill_the_links_of_their_hosts() -> None:
@@ -120,7 +120,7 @@
         domains=4,
         slots=3,
         kinds=[LIST, BOOK, LOOK_UP],
-        link_bytes_a_ms=LINK_BYTES_A_MS,
+        link_bytes_a_ms=LINK_BYTES_PER_MS,
         callers_only=60,
     )
     assert fleet.play(5000, 1.3).credit(LATE_WORTH) >= 0.93
--- a/libs/emulator/tests/test_uploads.py
+++ b/libs/emulator/tests/test_uploads.py
@@ -21,7 +21,7 @@
 )
 VERIFY = core_fleet.Kind("verify", 315, 30, 120, 400, 400, 1, 0.5, 400)
 # A link of 5.5 Mbit/s.
-LINK_BYTES_A_MS = 687.5
+LINK_BYTES_PER_MS = 687.5
 LASTS_MS = 8000
 SLOWS = [0.7, 0.7, 1.6, 0.7, 0.7]
 TARGETS = len(SLOWS)
@@ -37,8 +37,8 @@
         kinds=[UPLOAD, VERIFY],
         returns=1,
         seed=1,
-        link_bytes_a_ms=LINK_BYTES_A_MS,
-        in_bytes_a_ms=LINK_BYTES_A_MS,
+        link_bytes_a_ms=LINK_BYTES_PER_MS,
+        in_bytes_a_ms=LINK_BYTES_PER_MS,
         callers_only=60,
     )
 
--- a/libs/requests/src/trefoil_requests/accounts.py
+++ b/libs/requests/src/trefoil_requests/accounting.py
@@ -8,7 +8,7 @@
 from . import live as lives
 
 
-class Accounts:
+class RetryBudgets:
     """One budget for each service, and who has to pay or is paid back.
 
     Args:
@@ -17,13 +17,13 @@
         reserve: This proxy's part of the repeats beyond the ratio.
     """
 
-    __slots__ = ("budgets", "most_ratio", "reserve")
+    __slots__ = ("budgets", "max_ratio", "reserve")
 
     def __init__(
-        self, most_ratio: float = 1.0, reserve: float = budget.RESERVE
+        self, max_ratio: float = 1.0, reserve: float = budget.RESERVE
     ) -> None:
         self.budgets: dict[str, budget.RetryBudget] = {}
-        self.most_ratio = most_ratio
+        self.max_ratio = max_ratio
         self.reserve = reserve
 
     def put_in_force(
@@ -36,7 +36,7 @@
         }
 
     def _budget_of(self, service: messages.Service) -> budget.RetryBudget:
-        ratio = min(service.retry_budget, self.most_ratio)
+        ratio = min(service.retry_budget, self.max_ratio)
         return budget.RetryBudget(ratio, self.reserve)
 
     def share_slack(self, reserve: float) -> None:
@@ -46,10 +46,10 @@
         parts are equal, so that the sum holds while some are cut off.
         """
         self.reserve = reserve
-        for found in self.budgets.values():
-            found.limit(reserve)
+        for service_budget in self.budgets.values():
+            service_budget.limit(reserve)
 
-    def keeps(self, service: str) -> bool:
+    def has_budget(self, service: str) -> bool:
         """Tell whether a service has a budget.
 
         It has none once it left the configuration, though its requests run.
@@ -66,21 +66,21 @@
 
     def withdraw(self, service: str, cause: budget.Cause) -> bool:
         """Pay for a repeat; return whether there was enough."""
-        found = self.budgets.get(service)
-        return found is not None and found.withdraw(cause)
+        service_budget = self.budgets.get(service)
+        return service_budget is not None and service_budget.withdraw(cause)
 
     def give_back(self, live: lives.Live) -> None:
         """Take back what was paid for a repeat that found no target."""
-        found = self.budgets.get(live.service)
-        if live.paid and found is not None:
+        service_budget = self.budgets.get(live.service)
+        if live.paid and service_budget is not None:
             live.paid = False
-            found.give_back()
+            service_budget.give_back()
 
     def arrived(self, service: str) -> None:
         """Note that a repeat has reached its target, or never will."""
-        found = self.budgets.get(service)
-        if found is not None:
-            found.arrived()
+        service_budget = self.budgets.get(service)
+        if service_budget is not None:
+            service_budget.arrived()
 
     def end(self, live: lives.Live) -> None:
         """Note that an attempt has ended, if it was a repeat.
--- a/libs/requests/src/trefoil_requests/admission.py
+++ b/libs/requests/src/trefoil_requests/admission.py
@@ -13,14 +13,14 @@
 from . import warmup as warmups
 
 # Some ten requests: a target that slows down is noticed within a second.
-SERVICE_WEIGHT = 0.1
+SAMPLE_WEIGHT = 0.1
 # Before anything ran nothing waits long enough to be refused for it.
-FIRST_SERVICE_MS = 5.0
+INITIAL_SERVICE_MS = 5.0
 # A start counts as in time if the usual time and this many mean deviations
 # fit before the aim: work that spreads by 0.8 of its mean then ends in time
 # nine times in ten. By the mean alone a third of the slots would go to answers
 # that are late after all.
-DEVIATIONS = 1.5
+SAFE_DEVIATIONS = 1.5
 # A queue of four times the slots is worked off in four service times; what
 # waits longer than that has mostly missed its aim.
 QUEUE_PER_SLOT = 4
@@ -28,11 +28,11 @@
 # A request that waits is given up this long before its deadline: a beat of
 # this process and the way back. Told later, its entry proxy has given it up
 # by itself, and can't tell its caller any more that it did not run.
-TELL_MS = 75
+REPLY_MS = 75
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """A request in the queue.
 
     Args:
@@ -46,12 +46,12 @@
 
     request_id: int
     deadline_at_ms: int
-    aim_at_ms: int = 0
+    due_at_ms: int = 0
     priority: int = 0
     route: str = ""
 
     def __post_init__(self) -> None:
-        self.aim_at_ms = self.aim_at_ms or self.deadline_at_ms
+        self.due_at_ms = self.due_at_ms or self.deadline_at_ms
 
     def rank(self, ready_at_ms: float) -> tuple[bool, int, int]:
         """Return its place in the queue, the least first.
@@ -64,13 +64,13 @@
         Args:
             ready_at_ms: When an answer would be ready that starts now.
         """
-        late = ready_at_ms > self.aim_at_ms
-        by = -self.aim_at_ms if late else self.aim_at_ms
-        return late, self.priority, by
+        late = ready_at_ms > self.due_at_ms
+        tie_break_ms = -self.due_at_ms if late else self.due_at_ms
+        return late, self.priority, tie_break_ms
 
 
 @dataclasses.dataclass(slots=True)
-class Usual:
+class RunTime:
     """How long requests of a route run on a target.
 
     Mean and mean deviation, both smoothed, as in Jacobson's "Congestion
@@ -85,20 +85,20 @@
     deviation_ms: float = 0.0
 
     @classmethod
-    def from_first(cls, took_ms: float) -> typing.Self:
+    def from_first_run(cls, took_ms: float) -> typing.Self:
         """Return what to expect after one run: it says little of others."""
         return cls(took_ms, took_ms / 2)
 
     @property
     def safe_ms(self) -> float:
         """Return a time within which most of them are done."""
-        return self.mean_ms + DEVIATIONS * self.deviation_ms
+        return self.mean_ms + SAFE_DEVIATIONS * self.deviation_ms
 
-    def note(self, took_ms: float) -> None:
+    def add(self, took_ms: float) -> None:
         """Take in how long one ran."""
         error_ms = took_ms - self.mean_ms
-        self.mean_ms += SERVICE_WEIGHT * error_ms
-        self.deviation_ms += SERVICE_WEIGHT * (
+        self.mean_ms += SAMPLE_WEIGHT * error_ms
+        self.deviation_ms += SAMPLE_WEIGHT * (
             abs(error_ms) - self.deviation_ms
         )
 
@@ -126,7 +126,7 @@
     retry_after_ms: int
 
 
-class Admission:
+class AdmissionController:
     """Slots of one target and the queue before them.
 
     Args:
@@ -142,9 +142,9 @@
         self.slots = slots
         self.warmup = warmup or warmups.Warmup(None)
         self.running = 0
-        self.queue: list[Waiting] = []
-        self.service_ms = FIRST_SERVICE_MS
-        self.routes: dict[str, Usual] = {}
+        self.queue: list[QueuedRequest] = []
+        self.service_ms = INITIAL_SERVICE_MS
+        self.routes: dict[str, RunTime] = {}
 
     @property
     def load(self) -> int:
@@ -153,31 +153,33 @@
 
     def wait_ms(self, now_ms: int) -> float:
         """Return the expected wait of a request that comes last."""
-        if self._has_room(now_ms):
+        if self._may_start(now_ms):
             return 0.0
         return self._wait_behind(len(self.queue), now_ms)
 
-    def _has_room(self, now_ms: int) -> bool:
+    def _may_start(self, now_ms: int) -> bool:
         """Tell whether a request may start now."""
         return self.running < self.slots and self.warmup.may_start(now_ms)
 
-    def _is_free(self, now_ms: int) -> bool:
+    def _starts_at_once(self, now_ms: int) -> bool:
         """Tell whether a request that comes now starts at once."""
-        return self._has_room(now_ms) and not self.queue
+        return self._may_start(now_ms) and not self.queue
 
     def _wait_behind(self, count: int, now_ms: int) -> float:
         slots_ms = (count + 1) * self.service_ms / max(self.slots, 1)
         return max(slots_ms, self.warmup.wait_ms(count, now_ms))
 
-    def usual(self, route: str) -> Usual:
+    def run_time(self, route: str) -> RunTime:
         """Return how long a route's requests run here."""
-        return self.routes.get(route) or Usual(self.service_ms)
+        return self.routes.get(route) or RunTime(self.service_ms)
 
-    def _rank(self, waiting: Waiting, now_ms: int) -> tuple[bool, int, int]:
-        return waiting.rank(now_ms + self.usual(waiting.route).safe_ms)
+    def _rank(
+        self, waiting: QueuedRequest, now_ms: int
+    ) -> tuple[bool, int, int]:
+        return waiting.rank(now_ms + self.run_time(waiting.route).safe_ms)
 
     def offer(
-        self, waiting: Waiting, now_ms: int, *, settled: bool = True
+        self, waiting: QueuedRequest, now_ms: int, *, may_queue: bool = True
     ) -> Admitted | Queued | Refused:
         """Decide on a request.
 
@@ -191,13 +193,13 @@
             settled: Whether it may wait here; else it is refused when no
                 slot is free, to be tried at a target that may be freer.
         """
-        if self._is_free(now_ms):
+        if self._starts_at_once(now_ms):
             self._start(now_ms)
             return Admitted()
-        if not settled:
+        if not may_queue:
             return Refused(MIN_RETRY_MS)
         ready_ms = self._wait_of(waiting, now_ms)
-        ready_ms += self.usual(waiting.route).mean_ms
+        ready_ms += self.run_time(waiting.route).mean_ms
         if now_ms + ready_ms > waiting.deadline_at_ms:
             return Refused(max(int(self.wait_ms(now_ms)), MIN_RETRY_MS))
         evicted = 0
@@ -208,13 +210,13 @@
         self.queue.append(waiting)
         return Queued(evicted)
 
-    def forecast_ms(self, waiting: Waiting, now_ms: int) -> float:
+    def expected_wait_ms(self, waiting: QueuedRequest, now_ms: int) -> float:
         """Return how long a request would wait for a slot from now on."""
-        if self._is_free(now_ms):
+        if self._starts_at_once(now_ms):
             return 0.0
         return self._wait_of(waiting, now_ms)
 
-    def _wait_of(self, waiting: Waiting, now_ms: int) -> float:
+    def _wait_of(self, waiting: QueuedRequest, now_ms: int) -> float:
         """Return how long a request waits behind those that go first."""
         rank = self._rank(waiting, now_ms)
         ahead = sum(self._rank(w, now_ms) <= rank for w in self.queue)
@@ -224,7 +226,7 @@
         self.running += 1
         self.warmup.started(now_ms)
 
-    def _evict_for(self, waiting: Waiting, now_ms: int) -> int:
+    def _evict_for(self, waiting: QueuedRequest, now_ms: int) -> int:
         """Make room for a request; 0 if none ranks behind it."""
         last = max(self.queue, key=lambda w: self._rank(w, now_ms))
         if self._rank(last, now_ms) <= self._rank(waiting, now_ms):
@@ -245,16 +247,16 @@
             return
         if not self.routes:
             self.service_ms = took_ms
-        self.service_ms += SERVICE_WEIGHT * (took_ms - self.service_ms)
+        self.service_ms += SAMPLE_WEIGHT * (took_ms - self.service_ms)
         known = self.routes.get(route)
         if known is None:
-            self.routes[route] = Usual.from_first(took_ms)
+            self.routes[route] = RunTime.from_first_run(took_ms)
         else:
-            known.note(took_ms)
+            known.add(took_ms)
 
     def next_admitted(self, now_ms: int = 0) -> int | None:
         """Return the queued request that may run now, if any."""
-        if not self.queue or not self._has_room(now_ms):
+        if not self.queue or not self._may_start(now_ms):
             return None
         chosen = min(self.queue, key=lambda w: self._rank(w, now_ms))
         self.queue.remove(chosen)
@@ -266,7 +268,7 @@
         late = [
             waiting.request_id
             for waiting in self.queue
-            if now_ms + max(self.usual(waiting.route).mean_ms, TELL_MS)
+            if now_ms + max(self.run_time(waiting.route).mean_ms, REPLY_MS)
             > waiting.deadline_at_ms
         ]
         for request_id in late:
--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -11,7 +11,7 @@
 
 from trefoil_wire import messages
 
-from . import crossing
+from . import cross_domain
 from . import routing
 
 LATENCY_WEIGHT = 0.12
@@ -51,7 +51,7 @@
 LOST_PAUSE_MAX_MS = 10_000
 SILENT_LOSSES = 3
 # Where the caller's aim is not told, the soonest answer is the best.
-NO_HURRY = crossing.Hurry(1_000_000, 1_000_000)
+NO_URGENCY = cross_domain.Urgency(1_000_000, 1_000_000)
 SLOW_START_MS = 5000
 MIN_START_WEIGHT = 0.1
 # Targets that tell of their warm-up take about twice as long in it.
@@ -119,7 +119,7 @@
         *,
         tried: collections.abc.Collection[str] = (),
         now_ms: int,
-        hurry: crossing.Hurry = NO_HURRY,
+        urgency: cross_domain.Urgency = NO_URGENCY,
         away_us: float = 0.0,
         large: bool = False,
     ) -> routing.Endpoint | None:
@@ -163,7 +163,9 @@
                 if large:
                     expected_us += self._body_wait_us(endpoint, now_ms)
             expected_us *= self.rng.uniform(1 - JITTER, 1 + JITTER)
-            return hurry.loss(expected_us, far=endpoint.domain != self.domain)
+            return urgency.loss(
+                expected_us, far=endpoint.domain != self.domain
+            )
 
         return min(fit, key=loss)
 
--- a/libs/requests/src/trefoil_requests/bodies.py
+++ b/libs/requests/src/trefoil_requests/bodies.py
@@ -19,24 +19,24 @@
 LARGE_BYTES = 16 * 1024
 # A piece takes 12 ms on a link of 5.5 Mbit/s; two of them keep the link busy
 # while the next is asked for.
-PIECE_BYTES = 8 * 1024
-PIECES_AHEAD = 2
+CHUNK_BYTES = 8 * 1024
+CHUNKS_AHEAD = 2
 # Before a body came a link is taken for a fast one, 80 Mbit/s.
-FIRST_BYTES_A_MS = 10_000.0
+INITIAL_BYTES_PER_MS = 10_000.0
 # A link that other traffic fills is noticed after four bodies; a slow sender
 # among faster ones is not taken for one.
-RATES_KEPT = 7
-OUTLIERS = 2
+RATE_SAMPLES = 7
+OUTLIERS_PER_END = 2
 # Some ten bodies on a link of 5.5 Mbit/s.
-UTILIZATION_MS = 1000
-LEAST_LEFT_OVER = 0.001
+UTILIZATION_WINDOW_MS = 1000
+MIN_FREE_SHARE = 0.001
 # A sender that is cut off or stands still must not hold up the others.
-STALLED_MS = 300
+STALL_TIMEOUT_MS = 300
 # A sender that takes twice the time leaves half of the link unused.
-SLOW_TIMES = 2.0
+SLOW_FACTOR = 2.0
 MIN_SLOW_MS = 30
 # A small call waits behind a piece of each, and one more.
-MOST_AT_ONCE = 3
+MAX_ACTIVE_BODIES = 3
 
 
 def is_large(body: bytes) -> bool:
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Arrival:
+class IncomingBody:
     """A body on its way.
 
     Args:
@@ -67,40 +67,42 @@
     size: int
     due_ms: float
     data: bytearray = dataclasses.field(default_factory=bytearray)
-    asked: int = 0
-    had: int = 0
-    began_ms: int = 0
-    moved_ms: int = 0
+    requested: int = 0
+    start_bytes: int = 0
+    turn_started_ms: int = 0
+    last_progress_ms: int = 0
     slow: bool = False
     stalled: bool = False
 
     @property
-    def left(self) -> int:
+    def remaining_bytes(self) -> int:
         """Return how many bytes are still to come."""
         return self.size - len(self.data)
 
     def begin(self, now_ms: int) -> None:
         """Begin its turn."""
-        self.had = len(self.data)
-        self.began_ms = now_ms
-        self.moved_ms = now_ms
+        self.start_bytes = len(self.data)
+        self.turn_started_ms = now_ms
+        self.last_progress_ms = now_ms
         self.slow = False
 
-    def rank(self, now_ms: int, bytes_a_ms: float) -> tuple[bool, bool, float]:
+    def rank(
+        self, now_ms: int, bytes_per_ms: float
+    ) -> tuple[bool, bool, float]:
         """Return its turn, the least first.
 
         A body that comes too late for its answer to be in time would make
         the next one late too.
         """
-        return self.stalled, self.is_late(now_ms, bytes_a_ms), self.due_ms
+        return self.stalled, self.is_late(now_ms, bytes_per_ms), self.due_ms
 
-    def is_late(self, now_ms: int, bytes_a_ms: float) -> bool:
+    def is_late(self, now_ms: int, bytes_per_ms: float) -> bool:
         """Tell whether it is late even if nothing comes before it."""
-        return now_ms + self.left / bytes_a_ms > self.due_ms
+        return now_ms + self.remaining_bytes / bytes_per_ms > self.due_ms
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Prospect:
+class BodyEstimate:
     """What becomes of a request whose body would be asked for now.
 
     Args:
@@ -109,7 +111,7 @@
         slot_ms: Until a slot is free for it.
         run_ms: How long its run takes as a rule.
         safe_run_ms: A time within which most such runs are done.
-        aim_ms: Time left until its answer is late.
+        latency_target_ms: Time left until its answer is late.
         deadline_ms: Time left until nobody waits for it.
     """
 
@@ -118,69 +120,71 @@
     slot_ms: float
     run_ms: float
     safe_run_ms: float
-    aim_ms: float
+    latency_target_ms: float
     deadline_ms: float
 
     @property
-    def is_served_at_once(self) -> bool:
+    def starts_at_once(self) -> bool:
         """Tell whether a slot is free, and its answer in time as a rule."""
         ends_ms = self.body_ms + self.run_ms
-        return not self.slot_ms and ends_ms <= self.aim_ms
+        return not self.slot_ms and ends_ms <= self.latency_target_ms
 
     @property
-    def is_in_time(self) -> bool:
+    def meets_latency_target(self) -> bool:
         """Tell whether its answer is surely in time."""
         starts_ms = max(self.body_ms, self.slot_ms)
-        return starts_ms + self.safe_run_ms <= self.aim_ms
+        return starts_ms + self.safe_run_ms <= self.latency_target_ms
 
     @property
-    def is_late_but_welcome(self) -> bool:
+    def meets_deadline(self) -> bool:
         """Tell whether its caller gets an answer, if a late one."""
         starts_ms = max(self.last_ms, self.slot_ms)
         return starts_ms + self.run_ms <= self.deadline_ms
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
+class ChunkRequest:
     """Ask the sender of a body for a piece of it."""
 
     origin: str
     pull: messages.BodyPull
 
 
-class Rates:
+class LinkRate:
     """How fast the last bodies came over a link.
 
     Counted from when the link was last without a body, or a body was whole:
     bodies that come beside each other count together.
     """
 
-    __slots__ = ("found", "came", "since_ms")
+    __slots__ = ("samples", "received_bytes", "since_ms")
 
     def __init__(self) -> None:
-        self.found: collections.deque[float] = collections.deque(
-            maxlen=RATES_KEPT
+        self.samples: collections.deque[float] = collections.deque(
+            maxlen=RATE_SAMPLES
         )
-        self.came = 0
+        self.received_bytes = 0
         self.since_ms = 0
 
     def begin(self, now_ms: int) -> None:
         """Count anew from now on."""
-        self.came = 0
+        self.received_bytes = 0
         self.since_ms = now_ms
 
-    def settle(self, now_ms: int) -> float:
+    def finish_sample(self, now_ms: int) -> float:
         """Learn from what came; return the bytes that come in a millisecond.
 
         The slowest and the fastest of them are left out.
         """
-        self.found.append(self.came / max(now_ms - self.since_ms, 1))
+        self.samples.append(
+            self.received_bytes / max(now_ms - self.since_ms, 1)
+        )
         self.begin(now_ms)
-        usual = sorted(self.found)[OUTLIERS:-OUTLIERS]
-        return statistics.fmean(usual or self.found)
+        typical = sorted(self.samples)[OUTLIERS_PER_END:-OUTLIERS_PER_END]
+        return statistics.fmean(typical or self.samples)
 
 
-class Arrivals:
+class IncomingBodies:
     """The bodies that one host waits for.
 
     The one that is due first has the link to itself. While its sender is too
@@ -189,35 +193,35 @@
 
     __slots__ = (
         "waiting",
-        "coming",
-        "bytes_a_ms",
-        "rates",
+        "active",
+        "bytes_per_ms",
+        "link_rate",
         "utilization",
-        "utilized_at_ms",
+        "utilization_updated_ms",
         "out",
     )
 
     def __init__(self) -> None:
-        self.bytes_a_ms = FIRST_BYTES_A_MS
-        self.rates = Rates()
+        self.bytes_per_ms = INITIAL_BYTES_PER_MS
+        self.link_rate = LinkRate()
         self.utilization = 0.0
-        self.utilized_at_ms = 0
-        self.waiting: dict[int, Arrival] = {}
-        self.coming: list[Arrival] = []
-        self.out: list[Ask] = []
+        self.utilization_updated_ms = 0
+        self.waiting: dict[int, IncomingBody] = {}
+        self.active: list[IncomingBody] = []
+        self.out: list[ChunkRequest] = []
 
-    def want(
+    def add(
         self,
         request_id: int,
         origin: str,
         size: int,
         due_ms: float,
         now_ms: int,
-    ) -> list[Ask]:
+    ) -> list[ChunkRequest]:
         """Have a body sent, after those that are due sooner."""
-        arrival = Arrival(request_id, origin, size, due_ms)
-        self.waiting[request_id] = arrival
-        self._proceed(now_ms)
+        body = IncomingBody(request_id, origin, size, due_ms)
+        self.waiting[request_id] = body
+        self._request_chunks(now_ms)
         return self._flush()
 
     def expected_ms(self, now_ms: int, size: int = 0) -> int:
@@ -228,11 +232,11 @@
             size: Its length; 0 for the wait before its turn.
         """
         ahead = sum(
-            arrival.left
-            for arrival in self.waiting.values()
-            if arrival in self.coming or not self._is_late(arrival, now_ms)
+            body.remaining_bytes
+            for body in self.waiting.values()
+            if body in self.active or not self._is_late(body, now_ms)
         )
-        return int((ahead + size) / self.bytes_a_ms)
+        return int((ahead + size) / self.bytes_per_ms)
 
     def expected_last_ms(self, size: int = 0) -> int:
         """Return when a body is expected to be here that comes after all.
@@ -241,129 +245,129 @@
         what they leave of the link (Cobham, "Priority Assignment in Waiting
         Line Problems", 1954).
         """
-        ahead = sum(arrival.left for arrival in self.waiting.values())
-        left_over = max(1 - self.utilization, LEAST_LEFT_OVER)
-        return int((ahead + size) / self.bytes_a_ms / left_over)
+        ahead = sum(body.remaining_bytes for body in self.waiting.values())
+        free_share = max(1 - self.utilization, MIN_FREE_SHARE)
+        return int((ahead + size) / self.bytes_per_ms / free_share)
 
     def waits_for(self, request_id: int) -> bool:
         """Tell whether a request's body is still on its way."""
         return request_id in self.waiting
 
-    def is_taken(self, now_ms: int) -> bool:
+    def is_busy(self, now_ms: int) -> bool:
         """Tell whether the link is taken by bodies that can be in time."""
         return any(
-            not self._is_late(arrival, now_ms)
-            for arrival in self.waiting.values()
+            not self._is_late(body, now_ms) for body in self.waiting.values()
         )
 
-    def is_put_off(self, request_id: int, now_ms: int) -> bool:
+    def is_deferred(self, request_id: int, now_ms: int) -> bool:
         """Tell whether a body is late, and others go before it."""
-        arrival = self.waiting[request_id]
-        return arrival not in self.coming and self._is_late(arrival, now_ms)
+        body = self.waiting[request_id]
+        return body not in self.active and self._is_late(body, now_ms)
 
-    def take(
-        self, piece: messages.BodyPiece, now_ms: int
-    ) -> tuple[bytes | None, list[Ask]]:
+    def receive(
+        self, chunk: messages.BodyPiece, now_ms: int
+    ) -> tuple[bytes | None, list[ChunkRequest]]:
         """Take a piece.
 
         Returns:
             The whole body with its last piece, else None, and what is asked
             for next. A piece that is not the next one is dropped.
         """
-        arrival = self.waiting.get(piece.request_id)
-        if arrival is None or piece.offset != len(arrival.data):
+        body = self.waiting.get(chunk.request_id)
+        if body is None or chunk.offset != len(body.data):
             return None, []
-        arrival.data += piece.data or b""
-        arrival.slow = self._is_slow(arrival, now_ms)
-        arrival.moved_ms = now_ms
-        self.rates.came += len(piece.data or b"")
-        arrival.stalled = False
-        whole = None
-        if not arrival.left:
-            whole = bytes(arrival.data)
-            self.bytes_a_ms = self.rates.settle(now_ms)
-            self._forget(arrival.request_id)
-        self._proceed(now_ms)
-        return whole, self._flush()
-
-    def drop(self, request_id: int, now_ms: int) -> list[Ask]:
+        body.data += chunk.data or b""
+        body.slow = self._is_slow(body, now_ms)
+        body.last_progress_ms = now_ms
+        self.link_rate.received_bytes += len(chunk.data or b"")
+        body.stalled = False
+        complete = None
+        if not body.remaining_bytes:
+            complete = bytes(body.data)
+            self.bytes_per_ms = self.link_rate.finish_sample(now_ms)
+            self._remove(body.request_id)
+        self._request_chunks(now_ms)
+        return complete, self._flush()
+
+    def remove(self, request_id: int, now_ms: int) -> list[ChunkRequest]:
         """Forget a body that nobody needs any more."""
-        self._forget(request_id)
-        self._proceed(now_ms)
+        self._remove(request_id)
+        self._request_chunks(now_ms)
         return self._flush()
 
-    def tick(self, now_ms: int) -> list[Ask]:
+    def tick(self, now_ms: int) -> list[ChunkRequest]:
         """Let the next body come if the present ones are slow or stall."""
-        self._note_utilization(now_ms)
-        for arrival in list(self.coming):
-            arrival.slow = arrival.slow or self._is_slow(arrival, now_ms)
-            if now_ms - arrival.moved_ms >= STALLED_MS:
-                arrival.stalled = True
-                arrival.asked = len(arrival.data)
-                self.coming.remove(arrival)
-        self._proceed(now_ms)
+        self._update_utilization(now_ms)
+        for body in list(self.active):
+            body.slow = body.slow or self._is_slow(body, now_ms)
+            if now_ms - body.last_progress_ms >= STALL_TIMEOUT_MS:
+                body.stalled = True
+                body.requested = len(body.data)
+                self.active.remove(body)
+        self._request_chunks(now_ms)
         return self._flush()
 
-    def _note_utilization(self, now_ms: int) -> None:
+    def _update_utilization(self, now_ms: int) -> None:
         """Learn which part of the time bodies in time take the link."""
-        weight = min((now_ms - self.utilized_at_ms) / UTILIZATION_MS, 1.0)
-        self.utilized_at_ms = now_ms
-        self.utilization += weight * (self.is_taken(now_ms) - self.utilization)
+        weight = min(
+            (now_ms - self.utilization_updated_ms) / UTILIZATION_WINDOW_MS, 1.0
+        )
+        self.utilization_updated_ms = now_ms
+        self.utilization += weight * (self.is_busy(now_ms) - self.utilization)
 
-    def _is_slow(self, arrival: Arrival, now_ms: int) -> bool:
+    def _is_slow(self, body: IncomingBody, now_ms: int) -> bool:
         """Tell whether it comes more slowly than the link carries."""
-        came = len(arrival.data) - arrival.had
-        usual_ms = (came + PIECE_BYTES) / self.bytes_a_ms
-        slow_ms = max(SLOW_TIMES * usual_ms, MIN_SLOW_MS)
-        return now_ms - arrival.began_ms >= slow_ms
+        received_bytes = len(body.data) - body.start_bytes
+        expected_ms = (received_bytes + CHUNK_BYTES) / self.bytes_per_ms
+        slow_ms = max(SLOW_FACTOR * expected_ms, MIN_SLOW_MS)
+        return now_ms - body.turn_started_ms >= slow_ms
 
-    def _forget(self, request_id: int) -> None:
-        arrival = self.waiting.pop(request_id, None)
-        if arrival in self.coming:
-            self.coming.remove(arrival)
+    def _remove(self, request_id: int) -> None:
+        body = self.waiting.pop(request_id, None)
+        if body in self.active:
+            self.active.remove(body)
 
-    def _proceed(self, now_ms: int) -> None:
+    def _request_chunks(self, now_ms: int) -> None:
         """Ask for as much as may be on its way."""
-        if not self.coming:
-            self.rates.begin(now_ms)
-        while arrival := self._next(now_ms):
-            arrival.begin(now_ms)
-            self.coming.append(arrival)
-        for arrival in self.coming:
-            self._ask(arrival)
-
-    def _next(self, now_ms: int) -> Arrival | None:
+        if not self.active:
+            self.link_rate.begin(now_ms)
+        while body := self._next_body(now_ms):
+            body.begin(now_ms)
+            self.active.append(body)
+        for body in self.active:
+            self._request_ahead(body)
+
+    def _next_body(self, now_ms: int) -> IncomingBody | None:
         """Return a body that may begin to come, beside those that do."""
-        is_filled = any(not arrival.slow for arrival in self.coming)
-        if is_filled or len(self.coming) >= MOST_AT_ONCE:
+        is_link_filled = any(not body.slow for body in self.active)
+        if is_link_filled or len(self.active) >= MAX_ACTIVE_BODIES:
             return None
-        others = [
-            arrival
-            for arrival in self.waiting.values()
-            if arrival not in self.coming
-            and not (arrival.stalled and self.coming)
+        candidates = [
+            body
+            for body in self.waiting.values()
+            if body not in self.active and not (body.stalled and self.active)
         ]
         return min(
-            others,
-            key=lambda arrival: arrival.rank(now_ms, self.bytes_a_ms),
+            candidates,
+            key=lambda body: body.rank(now_ms, self.bytes_per_ms),
             default=None,
         )
 
-    def _ask(self, arrival: Arrival) -> None:
+    def _request_ahead(self, body: IncomingBody) -> None:
         # What a stalled sender was asked for may have come after all.
-        arrival.asked = max(arrival.asked, len(arrival.data))
-        ahead = 1 if arrival.slow else PIECES_AHEAD
-        bound = len(arrival.data) + ahead * PIECE_BYTES
-        while arrival.asked < min(arrival.size, bound):
-            length = min(PIECE_BYTES, arrival.size - arrival.asked)
-            pull = messages.BodyPull(arrival.request_id, arrival.asked, length)
-            arrival.asked += length
-            self.out.append(Ask(arrival.origin, pull))
-
-    def _is_late(self, arrival: Arrival, now_ms: int) -> bool:
-        return arrival.is_late(now_ms, self.bytes_a_ms)
-
-    def _flush(self) -> list[Ask]:
+        body.requested = max(body.requested, len(body.data))
+        ahead = 1 if body.slow else CHUNKS_AHEAD
+        bound = len(body.data) + ahead * CHUNK_BYTES
+        while body.requested < min(body.size, bound):
+            length = min(CHUNK_BYTES, body.size - body.requested)
+            pull = messages.BodyPull(body.request_id, body.requested, length)
+            body.requested += length
+            self.out.append(ChunkRequest(body.origin, pull))
+
+    def _is_late(self, body: IncomingBody, now_ms: int) -> bool:
+        return body.is_late(now_ms, self.bytes_per_ms)
+
+    def _flush(self) -> list[ChunkRequest]:
         out = self.out
         self.out = []
         return out
--- a/libs/requests/src/trefoil_requests/crossing.py
+++ b/libs/requests/src/trefoil_requests/cross_domain.py
@@ -12,14 +12,14 @@
 
 # What a KiB between failure domains costs, as a part of what an answer in
 # time is worth.
-COST_A_KIB = 0.03
+COST_PER_KIB = 0.03
 # Bytes never cost a caller more than an even chance of an answer in time.
-MOST_COST = 0.5
+MAX_COST = 0.5
 # A late answer is worth this part of one in time.
-LATE_WORTH = 0.2
+LATE_ANSWER_VALUE = 0.2
 # Log-logistic times with this shape are within twice their median five times
 # in six: work that spreads by 0.8 of its mean, behind a queue that is guessed.
-SHAPE = 2.5
+LOG_LOGISTIC_SHAPE = 2.5
 
 
 def cost(kib: float) -> float:
@@ -28,23 +28,23 @@
     Args:
         kib: What the call carries, both ways.
     """
-    return min(kib * COST_A_KIB, MOST_COST)
+    return min(kib * COST_PER_KIB, MAX_COST)
 
 
-def chance_late(expected_us: float, within_us: float) -> float:
+def late_probability(expected_us: float, limit_us: float) -> float:
     """Return the chance that an answer does not come within a time.
 
     Args:
         expected_us: When it is expected.
         within_us: The time.
     """
-    if within_us <= 0:
+    if limit_us <= 0:
         return 1.0
-    odds = math.pow(expected_us / within_us, SHAPE)
+    odds = math.pow(expected_us / limit_us, LOG_LOGISTIC_SHAPE)
     return odds / (1 + odds)
 
 
-class Hurry:
+class Urgency:
     """How long a call can wait, and what its bytes cost between domains.
 
     Args:
@@ -54,12 +54,15 @@
             part of what an answer in time is worth.
     """
 
-    __slots__ = ("aim_us", "deadline_us", "far_cost")
+    __slots__ = ("latency_target_us", "deadline_us", "far_cost")
 
     def __init__(
-        self, aim_us: float, deadline_us: float, far_cost: float = 0.0
+        self,
+        latency_target_us: float,
+        deadline_us: float,
+        far_cost: float = 0.0,
     ) -> None:
-        self.aim_us = aim_us
+        self.latency_target_us = latency_target_us
         self.deadline_us = deadline_us
         self.far_cost = far_cost
 
@@ -70,7 +73,7 @@
             expected_us: When the answer is expected.
             far: Whether it comes from another failure domain.
         """
-        late = chance_late(expected_us, self.aim_us)
-        never = chance_late(expected_us, self.deadline_us)
-        lost = late - LATE_WORTH * max(late - never, 0.0)
+        late = late_probability(expected_us, self.latency_target_us)
+        unanswered = late_probability(expected_us, self.deadline_us)
+        lost = late - LATE_ANSWER_VALUE * max(late - unanswered, 0.0)
         return lost + self.far_cost if far else lost
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -13,7 +13,7 @@
 from trefoil_model import errors
 from trefoil_wire import messages
 
-from . import accounts
+from . import accounting
 from . import attribution
 from . import bodies
 from . import budget
@@ -23,7 +23,7 @@
 from . import ledger as ledgers
 from . import live as lives
 from . import observing
-from . import patience as patiences
+from . import original_deadline as originals
 from . import placing as placings
 from . import quarantine as quarantines
 from . import routing
@@ -78,10 +78,10 @@
         "ledger",
         "quarantine",
         "rng",
-        "patience",
+        "original_deadlines",
         "placing",
         "balancer",
-        "accounts",
+        "accounting",
         "claims",
         "live",
         "early",
@@ -108,10 +108,10 @@
         self.ledger = ledger
         self.quarantine = quarantine
         self.rng = rng
-        self.patience = patiences.Patience()
+        self.original_deadlines = originals.OriginalDeadlines()
         self.placing = placings.Placing(me, domain, rng)
         self.balancer = self.placing.balancer
-        self.accounts = accounts.Accounts()
+        self.accounting = accounting.RetryBudgets()
         self.claims = ledgers.Claims()
         self.live: dict[int, lives.Live] = {}
         self.early = earlies.Early()
@@ -126,9 +126,9 @@
         """Route by a new configuration from now on, in one step."""
         self.placing.put_in_force(table)
         names = {route.name for route in table.routes}
-        self.patience.keep_only(names)
+        self.original_deadlines.keep_only(names)
         self.called.keep_only(names)
-        self.accounts.put_in_force(table.services)
+        self.accounting.put_in_force(table.services)
 
     def records_changed(
         self, records: record_store.Records, now_ms: int
@@ -153,7 +153,9 @@
         if call.deadline_ms:
             timeout_ms = min(timeout_ms, call.deadline_ms)
         aim_ms = route.latency_aim_ms or timeout_ms
-        waited_ms = self.patience.waited_ms(route.name, call.deadline_ms)
+        waited_ms = self.original_deadlines.waited_ms(
+            route.name, call.deadline_ms
+        )
         live = lives.Live(
             call=call,
             route=route,
@@ -181,7 +183,7 @@
         else:
             part = self.called.part(live.route.name)
             live.repeat = self.targets.repeat_share(part) if part else 0.0
-        self.accounts.deposit(live)
+        self.accounting.deposit(live)
 
     def start_early(self, now_ms: int, now_us: int) -> list[typing.Any]:
         """Take the requests that came before there was a configuration."""
@@ -236,7 +238,7 @@
         self, reply: messages.ClaimReply, now_ms: int, now_us: int
     ) -> list[typing.Any]:
         """Take a keeper's reply."""
-        self._take_claims(self.claims.hear(reply), now_ms, now_us)
+        self._take_claims(self.claims.receive_reply(reply), now_ms, now_us)
         return self._flush()
 
     def _take_claims(
@@ -244,13 +246,13 @@
     ) -> None:
         for item in found:
             match item:
-                case ledgers.Won():
+                case ledgers.ClaimGranted():
                     live = self.live.get(item.call_id)
                     if live is not None:
                         self._attempt(live, now_ms, now_us)
-                case ledgers.Ran():
+                case ledgers.KeyUsed():
                     self._finish_ran_before(item)
-                case ledgers.Unknown():
+                case ledgers.ClaimUndecided():
                     self._finish_unknown(item.call_id)
                 case _:
                     self.out.append(item)
@@ -259,7 +261,7 @@
         """Send a call to a target, or answer that none can take it."""
         endpoint = self.placing.choose_and_settle(live, now_ms)
         if endpoint is None:
-            self.accounts.give_back(live)
+            self.accounting.give_back(live)
             self._finish_no_target(live)
             return
         self._send_to(live, endpoint, now_ms, now_us)
@@ -389,7 +391,7 @@
             if notice is not None:
                 self.out.append(effects.Flood(notice))
         if live.claim is not None:
-            self.out.extend(ledgers.settle(live.claim, answer))
+            self.out.extend(ledgers.store_answer(live.claim, answer))
             live.claim = None
         self._finish(
             live,
@@ -527,7 +529,7 @@
             # Where all are full, requests are slow since they wait; asked
             # for twice they would all wait longer.
             return
-        if not self.accounts.withdraw(live.service, budget.Cause.HEDGED):
+        if not self.accounting.withdraw(live.service, budget.Cause.HEDGED):
             return
         first = live.attempt
         live.settled = False
@@ -537,7 +539,7 @@
             target=first.endpoint.key,
             waited_ms=(now_us - first.sent_us) // 1000,
             also=endpoint.key,
-            budget=round(self.accounts.left(live.service), 1),
+            budget=round(self.accounting.left(live.service), 1),
         )
         live.paid = True
         self._send_to(live, endpoint, now_ms, now_us)
@@ -574,7 +576,7 @@
             live.may_have_run = True
         else:
             live.attempts -= 1
-        self.accounts.end(live)
+        self.accounting.end(live)
         live.swap()
         live.hedge = None
         return True
@@ -588,7 +590,7 @@
         live = self.live.get(self.by_request.get(request_id, -1))
         if live is not None and live.request_id == request_id:
             if live.hedge is None:
-                self.accounts.end(live)
+                self.accounting.end(live)
 
     def _may_place_again(
         self, live: lives.Live, answer: messages.Answer, now_ms: int
@@ -615,10 +617,10 @@
             return False
         if now_ms >= live.deadline_at_ms:
             return False
-        if not self.accounts.keeps(live.service):
+        if not self.accounting.has_budget(live.service):
             return False
-        self.accounts.end(live)
-        granted = self.accounts.withdraw(live.service, cause)
+        self.accounting.end(live)
+        granted = self.accounting.withdraw(live.service, cause)
         live.paid = granted
         self._note(
             "request.retried" if granted else "request.out_of_budget",
@@ -626,7 +628,7 @@
             target=live.endpoint.key,
             cause=cause,
             left_ms=live.deadline_at_ms - now_ms,
-            budget=round(self.accounts.left(live.service), 1),
+            budget=round(self.accounting.left(live.service), 1),
         )
         return granted
 
@@ -751,7 +753,7 @@
             ),
         )
 
-    def _finish_ran_before(self, found: ledgers.Ran) -> None:
+    def _finish_ran_before(self, found: ledgers.KeyUsed) -> None:
         live = self.live.get(found.call_id)
         if live is None:
             return
@@ -800,9 +802,9 @@
             self._tell_cancel(live.hedge.request_id, live.hedge.endpoint)
             self.balancer.given_up(live.hedge.endpoint.key)
             if live.hedge.paid:
-                self.accounts.arrived(live.service)
+                self.accounting.arrived(live.service)
             live.hedge = None
-        self.accounts.end(live)
+        self.accounting.end(live)
 
     def _note_own(self, live: lives.Live, final: calls.Final) -> None:
         """Log an answer that no target gave, with what led to it."""
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -19,18 +19,18 @@
 
 from . import effects
 
-KEEPERS = 3
-KEEP_MS = 600_000
-SKEW_MS = 5000
-SYNC_PAUSE_MS = 500
+REPLICAS = 3
+RETENTION_MS = 600_000
+MAX_CLOCK_SKEW_MS = 5000
+SYNC_INTERVAL_MS = 500
 # Hosts that restarted themselves can't vouch for minutes; asking them goes on
 # ever less often.
-SYNC_PAUSE_MAX_MS = 30_000
+MAX_SYNC_INTERVAL_MS = 30_000
 # Asked first, to learn whether callers send keys at all.
-SAMPLE = 3
+SAMPLE_HOSTS = 3
 MAX_ENTRIES = 100_000
 MAX_ANSWER_BYTES = 8192
-MAX_ANSWERS_BYTES = 8 * 1024 * 1024
+MAX_TOTAL_ANSWER_BYTES = 8 * 1024 * 1024
 TIMED_KEY = re.compile(r"(\d{13})-.")
 
 GRANTED = 1
@@ -45,18 +45,18 @@
 
 def issued_ms_of(key: str) -> int:
     """Return the time in a key such as ``1764720000000-x81``, else 0."""
-    found = TIMED_KEY.match(key)
-    return int(found.group(1)) if found else 0
+    match = TIMED_KEY.match(key)
+    return int(match.group(1)) if match else 0
 
 
-class KeeperSets:
+class ReplicaSets:
     """The hosts of each service, with those that left lately."""
 
-    __slots__ = ("hosts", "gone")
+    __slots__ = ("hosts", "departed_until_ms")
 
     def __init__(self) -> None:
         self.hosts: dict[str, set[str]] = {}
-        self.gone: dict[tuple[str, str], int] = {}
+        self.departed_until_ms: dict[tuple[str, str], int] = {}
 
     def update(
         self, hosts_of: typing.Mapping[str, list[str]], now_ms: int
@@ -65,24 +65,24 @@
         for service in set(self.hosts) | set(hosts_of):
             new = set(hosts_of.get(service, ()))
             for host in self.hosts.get(service, set()) - new:
-                self.gone[(service, host)] = now_ms + KEEP_MS
+                self.departed_until_ms[(service, host)] = now_ms + RETENTION_MS
             for host in new:
-                self.gone.pop((service, host), None)
+                self.departed_until_ms.pop((service, host), None)
             self.hosts[service] = new
 
     def keepers(self, service: str, key: int, now_ms: int) -> list[str]:
         """Return a key's keepers, best first."""
-        late = {
+        departed = {
             host
-            for (name, host), until_ms in self.gone.items()
+            for (name, host), until_ms in self.departed_until_ms.items()
             if name == service and until_ms > now_ms
         }
-        pool = self.hosts.get(service, set()) | late
-        return list(hashing.rank(str(key), pool)[:KEEPERS])
+        pool = self.hosts.get(service, set()) | departed
+        return list(hashing.rank(str(key), pool)[:REPLICAS])
 
 
 @dataclasses.dataclass(slots=True)
-class Kept:
+class ClaimRecord:
     """One claimed key."""
 
     claim_id: int
@@ -107,13 +107,13 @@
         "started_ms",
         "started_wall_ms",
         "sets",
-        "kept",
+        "records",
         "synced",
-        "in_use",
-        "unheard",
-        "sync_wanted",
+        "keys_in_use",
+        "unanswered",
+        "sync_pending",
         "sync_at_ms",
-        "sync_pause_ms",
+        "sync_interval_ms",
         "answers",
         "answer_bytes",
     )
@@ -125,53 +125,55 @@
         self.incarnation = incarnation
         self.started_ms = now_ms
         self.started_wall_ms = wall_ms
-        self.sets = KeeperSets()
-        self.kept: dict[int, Kept] = {}
+        self.sets = ReplicaSets()
+        self.records: dict[int, ClaimRecord] = {}
         self.synced = False
-        self.in_use = False
-        self.unheard: set[str] = set()
-        self.sync_wanted: set[str] | None = None
+        self.keys_in_use = False
+        self.unanswered: set[str] = set()
+        self.sync_pending: set[str] | None = None
         self.sync_at_ms = 0
-        self.sync_pause_ms = SYNC_PAUSE_MS
+        self.sync_interval_ms = SYNC_INTERVAL_MS
         self.answers: collections.deque[tuple[int, int]] = collections.deque()
         self.answer_bytes = 0
 
-    def vouches(self, issued_ms: int, now_ms: int) -> bool:
+    def can_confirm(self, issued_ms: int, now_ms: int) -> bool:
         """Tell whether a key unknown here was certainly never granted here.
 
         True after a whole keeping time, after a sync with every other
         keeper, or for a key issued after this process started.
         """
-        if self.synced or now_ms >= self.started_ms + KEEP_MS:
+        if self.synced or now_ms >= self.started_ms + RETENTION_MS:
             return True
-        return issued_ms > self.started_wall_ms + SKEW_MS
+        return issued_ms > self.started_wall_ms + MAX_CLOCK_SKEW_MS
 
     def claim(self, claim: messages.Claim, now_ms: int) -> messages.ClaimReply:
         """Grant a key, or say that it is taken or can't be known."""
-        kept = self.kept.get(claim.key)
-        if kept is not None and now_ms - kept.at_ms < KEEP_MS:
-            if kept.claim_id == claim.claim_id:
+        record = self.records.get(claim.key)
+        if record is not None and now_ms - record.at_ms < RETENTION_MS:
+            if record.claim_id == claim.claim_id:
                 return self._reply(claim, GRANTED)
-            return self._reply(claim, TAKEN, self._answer_for(kept, claim))
+            return self._reply(claim, TAKEN, self._answer_for(record, claim))
         own_set = self.sets.keepers(claim.service_name, claim.key, now_ms)
         same_view = sorted(own_set) == sorted(claim.keepers or ())
         # A claimant with another view of the hosts could gather its
         # majority from other keepers than the claimant before it.
-        if not same_view or not self.vouches(claim.issued_ms, now_ms):
-            self._note_in_use()
+        if not same_view or not self.can_confirm(claim.issued_ms, now_ms):
+            self._note_keys_in_use()
             return self._reply(claim, ABSTAIN)
-        self._drop_old(now_ms)
-        if len(self.kept) >= MAX_ENTRIES:
+        self._drop_expired(now_ms)
+        if len(self.records) >= MAX_ENTRIES:
             # Dropping a live key would let its resend run again.
             return self._reply(claim, ABSTAIN)
-        self.kept[claim.key] = Kept(claim.claim_id, claim.fingerprint, now_ms)
+        self.records[claim.key] = ClaimRecord(
+            claim.claim_id, claim.fingerprint, now_ms
+        )
         return self._reply(claim, GRANTED)
 
     def done(self, done: messages.ClaimDone) -> None:
         """Keep the answer of a claim, to give it to resends."""
-        kept = self.kept.get(done.key)
-        if kept is not None and kept.claim_id == done.claim_id:
-            kept.answer = done.answer
+        record = self.records.get(done.key)
+        if record is not None and record.claim_id == done.claim_id:
+            record.answer = done.answer
             self.answers.append((done.key, len(done.answer.body or b"")))
             self.answer_bytes += self.answers[-1][1]
             self._drop_answers()
@@ -181,17 +183,17 @@
 
         A resend of such a key is told that it ran, without the answer.
         """
-        while self.answer_bytes > MAX_ANSWERS_BYTES:
+        while self.answer_bytes > MAX_TOTAL_ANSWER_BYTES:
             key, size = self.answers.popleft()
             self.answer_bytes -= size
-            if key in self.kept:
-                self.kept[key].answer = None
+            if key in self.records:
+                self.records[key].answer = None
 
     def release(self, release: messages.ClaimRelease) -> None:
         """Drop a claim whose request certainly did not run."""
-        kept = self.kept.get(release.key)
-        if kept is not None and kept.claim_id == release.claim_id:
-            del self.kept[release.key]
+        record = self.records.get(release.key)
+        if record is not None and record.claim_id == release.claim_id:
+            del self.records[release.key]
 
     # Coming back after a restart
 
@@ -204,25 +206,25 @@
         """
         if self.synced or not ready or now_ms < self.sync_at_ms:
             return []
-        if self.sync_wanted is None:
-            self.sync_wanted = self._sharers()
-            ranked = hashing.rank(self.me, self.sync_wanted)
-            self.unheard = set(ranked[:SAMPLE])
-        asked = self.sync_wanted if self.in_use else self.unheard
-        self.sync_at_ms = now_ms + self.sync_pause_ms
+        if self.sync_pending is None:
+            self.sync_pending = self._other_hosts()
+            ranked = hashing.rank(self.me, self.sync_pending)
+            self.unanswered = set(ranked[:SAMPLE_HOSTS])
+        asked = self.sync_pending if self.keys_in_use else self.unanswered
+        self.sync_at_ms = now_ms + self.sync_interval_ms
         if asked:
-            pause_ms = 2 * self.sync_pause_ms
-            self.sync_pause_ms = min(pause_ms, SYNC_PAUSE_MAX_MS)
+            interval_ms = 2 * self.sync_interval_ms
+            self.sync_interval_ms = min(interval_ms, MAX_SYNC_INTERVAL_MS)
         return sorted(asked)
 
-    def _note_in_use(self) -> None:
+    def _note_keys_in_use(self) -> None:
         """Note that callers send keys, so that all keepers matter."""
-        if not self.in_use:
-            self.in_use = True
+        if not self.keys_in_use:
+            self.keys_in_use = True
             self.sync_at_ms = 0
-            self.sync_pause_ms = SYNC_PAUSE_MS
+            self.sync_interval_ms = SYNC_INTERVAL_MS
 
-    def _sharers(self) -> set[str]:
+    def _other_hosts(self) -> set[str]:
         found: set[str] = set()
         for hosts in self.sets.hosts.values():
             found |= hosts
@@ -236,34 +238,34 @@
         entries = [
             messages.LedgerEntry(
                 key=key,
-                claim_id=kept.claim_id,
-                fingerprint=kept.fingerprint,
-                age_ms=now_ms - kept.at_ms,
-                answer=kept.answer,
+                claim_id=record.claim_id,
+                fingerprint=record.fingerprint,
+                age_ms=now_ms - record.at_ms,
+                answer=record.answer,
             )
-            for key, kept in self.kept.items()
-            if now_ms - kept.at_ms < KEEP_MS
+            for key, record in self.records.items()
+            if now_ms - record.at_ms < RETENTION_MS
         ]
-        complete = self.vouches(0, now_ms)
+        complete = self.can_confirm(0, now_ms)
         return messages.LedgerPush(self.me, entries, complete)
 
     def push(self, push: messages.LedgerPush, now_ms: int) -> None:
         """Take back what another keeper held."""
         if push.entries:
-            self._note_in_use()
-        self.unheard.discard(push.host)
+            self._note_keys_in_use()
+        self.unanswered.discard(push.host)
         for entry in push.entries or ():
-            if entry.key not in self.kept:
-                self.kept[entry.key] = Kept(
+            if entry.key not in self.records:
+                self.records[entry.key] = ClaimRecord(
                     entry.claim_id,
                     entry.fingerprint,
                     now_ms - entry.age_ms,
                     entry.answer,
                 )
-        if push.complete and self.sync_wanted is not None:
-            self.sync_wanted.discard(push.host)
+        if push.complete and self.sync_pending is not None:
+            self.sync_pending.discard(push.host)
             # With nobody else to ask there is no proof, only silence.
-            self.synced = not self.sync_wanted
+            self.synced = not self.sync_pending
 
     def _reply(
         self,
@@ -274,19 +276,19 @@
         return messages.ClaimReply(claim.claim_id, verdict, answer, self.me)
 
     def _answer_for(
-        self, kept: Kept, claim: messages.Claim
+        self, record: ClaimRecord, claim: messages.Claim
     ) -> messages.Answer | None:
-        if kept.answer is None or kept.fingerprint != claim.fingerprint:
+        if record.answer is None or record.fingerprint != claim.fingerprint:
             return None
-        return kept.answer
+        return record.answer
 
-    def _drop_old(self, now_ms: int) -> None:
+    def _drop_expired(self, now_ms: int) -> None:
         """Drop what is past its keeping time; never a live key."""
-        while self.kept:
-            key, kept = next(iter(self.kept.items()))
-            if now_ms - kept.at_ms < KEEP_MS:
+        while self.records:
+            key, record = next(iter(self.records.items()))
+            if now_ms - record.at_ms < RETENTION_MS:
                 break
-            del self.kept[key]
+            del self.records[key]
 
 
 @dataclasses.dataclass(slots=True)
@@ -301,14 +303,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Won:
+class ClaimGranted:
     """The call may run, once."""
 
     call_id: int
 
 
 @dataclasses.dataclass(slots=True)
-class Ran:
+class KeyUsed:
     """The key was used before; its answer, if it is kept."""
 
     call_id: int
@@ -316,13 +318,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Unknown:
+class ClaimUndecided:
     """It can't be known whether the key was used before."""
 
     call_id: int
 
 
-CLAIM_MS = 400
+CLAIM_TIMEOUT_MS = 400
 
 
 class Claims:
@@ -338,29 +340,29 @@
     ) -> list[typing.Any]:
         """Ask the keepers of a key."""
         self.pending[claim.claim_id] = Pending(
-            call_id, claim, now_ms + CLAIM_MS
+            call_id, claim, now_ms + CLAIM_TIMEOUT_MS
         )
         if not claim.keepers:
             del self.pending[claim.claim_id]
-            return [Unknown(call_id)]
+            return [ClaimUndecided(call_id)]
         return [effects.Tell(host, "", claim) for host in claim.keepers]
 
-    def hear(self, reply: messages.ClaimReply) -> list[typing.Any]:
+    def receive_reply(self, reply: messages.ClaimReply) -> list[typing.Any]:
         """Take a keeper's reply."""
         pending = self.pending.get(reply.claim_id)
         if pending is None or reply.host not in pending.claim.keepers:
             return []
         if reply.verdict == TAKEN:
             del self.pending[reply.claim_id]
-            given_back = self._release(pending)
-            return given_back + [Ran(pending.call_id, reply.answer)]
+            release_messages = self._release(pending)
+            return release_messages + [KeyUsed(pending.call_id, reply.answer)]
         pending.replies.add(reply.host)
         if reply.verdict == GRANTED:
             pending.grants.add(reply.host)
         majority = len(pending.claim.keepers) // 2 + 1
         if len(pending.grants) >= majority:
             del self.pending[reply.claim_id]
-            return [Won(pending.call_id)]
+            return [ClaimGranted(pending.call_id)]
         if len(pending.replies) == len(pending.claim.keepers):
             return self._give_up(pending)
         return []
@@ -383,7 +385,7 @@
 
     def _give_up(self, pending: Pending) -> list[typing.Any]:
         self.pending.pop(pending.claim.claim_id, None)
-        return self._release(pending) + [Unknown(pending.call_id)]
+        return self._release(pending) + [ClaimUndecided(pending.call_id)]
 
     def _release(self, pending: Pending) -> list[typing.Any]:
         return release(pending.claim)
@@ -395,11 +397,13 @@
     return [effects.Tell(host, "", message) for host in claim.keepers]
 
 
-def settle(claim: messages.Claim, answer: messages.Answer) -> list[typing.Any]:
+def store_answer(
+    claim: messages.Claim, answer: messages.Answer
+) -> list[typing.Any]:
     """Return the messages that leave an answer with the keepers."""
     body = answer.body or b""
-    kept = answer if len(body) <= MAX_ANSWER_BYTES else None
-    if kept is None:
+    stored = answer if len(body) <= MAX_ANSWER_BYTES else None
+    if stored is None:
         return [common.Count("ledger.answer_too_large")]
-    done = messages.ClaimDone(claim.key, claim.claim_id, kept)
+    done = messages.ClaimDone(claim.key, claim.claim_id, stored)
     return [effects.Tell(host, "", done) for host in claim.keepers]
--- a/libs/requests/src/trefoil_requests/occupancy.py
+++ b/libs/requests/src/trefoil_requests/occupancy.py
@@ -1,7 +1,7 @@
-"""Lines that tell what a target's slots and its host's link were taken by.
+"""Log lines on the load of a target's slots and of its host's link.
 
-A target refuses when its slots, its queue or the link of its host is short.
-Without these lines all three look the same from outside.
+A target refuses requests when its slots, its queue or the link of its host
+is full. Without these lines the three cases cannot be told apart from outside.
 """
 
 import collections
@@ -9,19 +9,19 @@
 
 from trefoil_model import effects as common
 
-TELL_MS = 1000
+REPORT_INTERVAL_MS = 1000
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Moment:
-    """What a target and the link of its host were taken by at one moment.
+    """Load of a target and of its host's link at one moment.
 
     Args:
-        slots: The target's slots.
-        running: Requests that it works on.
-        queued: Requests that wait for a slot.
-        bodies: Large bodies that wait for the link or are on it.
-        body_wait_ms: How long a further one would wait for its turn.
+        slots: Number of slots of the target.
+        running: Number of requests that the target runs.
+        queued: Number of requests that wait for a slot.
+        bodies: Number of large bodies that wait for the link or use it.
+        body_wait_ms: Time that a further large body would wait for the link.
     """
 
     slots: int
@@ -32,45 +32,45 @@
 
 
 class Occupancy:
-    """What one target was taken by since it was last told.
+    """Load of one target since its last log line.
 
     Args:
-        target: The target.
+        target: Name of the target.
     """
 
-    __slots__ = ("target", "moments", "refused", "bodies_ms", "tell_at_ms")
+    __slots__ = ("target", "moments", "refused", "bodies_ms", "next_report_ms")
 
     def __init__(self, target: str) -> None:
         self.target = target
         self.moments: list[Moment] = []
         self.refused: collections.Counter[str] = collections.Counter()
         self.bodies_ms: list[int] = []
-        self.tell_at_ms = 0
+        self.next_report_ms = 0
 
     def refuse(self, why: str) -> None:
-        """Note a refusal."""
+        """Count a refusal under its reason."""
         self.refused[why] += 1
 
     def body_came(self, took_ms: int) -> None:
-        """Note how long a body took, its wait for the link included."""
+        """Record how long a body took, including its wait for the link."""
         self.bodies_ms.append(took_ms)
 
     def tell(self, moment: Moment, now_ms: int) -> list[common.Note]:
-        """Take a moment; return a line each second with something to say.
+        """Add a sample; return a log line at most once a second.
 
-        A target that neither refused nor waited for a body since then is
-        left out.
+        No line is returned for a target that neither refused a request nor
+        received or waits for a large body since the last interval.
         """
         self.moments.append(moment)
-        if now_ms < self.tell_at_ms:
+        if now_ms < self.next_report_ms:
             return []
-        self.tell_at_ms = now_ms + TELL_MS
-        worth_telling = self.refused or self.bodies_ms or moment.bodies
-        found = [self._line()] if worth_telling else []
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS
+        has_content = self.refused or self.bodies_ms or moment.bodies
+        lines = [self._line()] if has_content else []
         self.moments = [moment]
         self.refused.clear()
         self.bodies_ms.clear()
-        return found
+        return lines
 
     def _line(self) -> common.Note:
         return common.Note(
--- a/libs/requests/src/trefoil_requests/patience.py
+++ b/libs/requests/src/trefoil_requests/original_deadline.py
@@ -11,20 +11,20 @@
 
 # Enough to find a value that a quarter of the callers give, few enough to
 # follow a change of the callers within seconds.
-WINDOW = 64
-LEAST_SEEN = 8
+WINDOW_REQUESTS = 64
+MIN_SAMPLES = 8
 # With two returns for each refusal a third of the requests are still first
 # ones; the greatest fifth of the deadlines then are those of first ones. A
 # few callers that are more patient than the rest do not reach so far.
-USUAL_QUANTILE = 0.8
+ORIGINAL_QUANTILE = 0.8
 # First requests of a route give the same deadline but for rounding. Where no
 # deadline is common, as in calls that inherit what their parent has left,
 # nothing is concluded.
-SAME_MS = 5
-LEAST_SAME = 0.2
+TOLERANCE_MS = 5
+MIN_COMMON_SHARE = 0.2
 
 
-class Patience:
+class OriginalDeadlines:
     """Learns each route's usual deadline from its callers."""
 
     __slots__ = ("deadlines",)
@@ -41,11 +41,13 @@
         """
         if not deadline_ms:
             return 0
-        seen = self.deadlines.get(route)
-        if seen is None:
-            seen = self.deadlines[route] = collections.deque(maxlen=WINDOW)
-        seen.append(deadline_ms)
-        return max(_usual_ms(seen) - deadline_ms, 0)
+        recent = self.deadlines.get(route)
+        if recent is None:
+            recent = self.deadlines[route] = collections.deque(
+                maxlen=WINDOW_REQUESTS
+            )
+        recent.append(deadline_ms)
+        return max(_original_ms(recent) - deadline_ms, 0)
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
         """Forget the routes that are gone."""
@@ -53,10 +55,13 @@
             del self.deadlines[route]
 
 
-def _usual_ms(seen: collections.deque[int]) -> int:
+def _original_ms(recent: collections.deque[int]) -> int:
     """Return the deadline of first requests, 0 if none is common."""
-    if len(seen) < LEAST_SEEN:
+    if len(recent) < MIN_SAMPLES:
         return 0
-    usual_ms = sorted(seen)[int(len(seen) * USUAL_QUANTILE)]
-    same = sum(abs(given_ms - usual_ms) <= SAME_MS for given_ms in seen)
-    return usual_ms if same >= LEAST_SAME * len(seen) else 0
+    original_ms = sorted(recent)[int(len(recent) * ORIGINAL_QUANTILE)]
+    matching = sum(
+        abs(deadline_ms - original_ms) <= TOLERANCE_MS
+        for deadline_ms in recent
+    )
+    return original_ms if matching >= MIN_COMMON_SHARE * len(recent) else 0
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -7,7 +7,7 @@
 
 from . import balancer as balancers
 from . import bodies
-from . import crossing
+from . import cross_domain
 from . import live as lives
 from . import routing
 
@@ -155,7 +155,7 @@
         if self.table is None or service not in self.table.shares:
             return None
         named = {s.version for s in self.table.shares[service].shares}
-        hurry = self._hurry(live, now_ms)
+        urgency = self._urgency(live, now_ms)
         for version in self._versions(live):
             holding = self.endpoints.holding(
                 service, version, live.route.resource, named
@@ -165,7 +165,7 @@
                 self.endpoints.first_seen_ms,
                 tried=tried,
                 now_ms=now_ms,
-                hurry=hurry,
+                urgency=urgency,
                 away_us=self._kib(live.route) * AWAY_US_A_KIB,
                 large=bodies.is_large(live.call.body),
             )
@@ -191,8 +191,8 @@
         others = [v for v in in_force if v != live.drawn and v not in halted]
         return [live.drawn] + others
 
-    def _hurry(self, live: lives.Live, now_ms: int) -> crossing.Hurry:
-        return crossing.Hurry(
+    def _urgency(self, live: lives.Live, now_ms: int) -> cross_domain.Urgency:
+        return cross_domain.Urgency(
             (live.aim_at_ms - now_ms) * 1000,
             (live.deadline_at_ms - now_ms) * 1000,
             self._far_cost(live.route),
@@ -200,7 +200,7 @@
 
     def _far_cost(self, route: messages.Route) -> float:
         """Return what it costs to send a call far, in answers in time."""
-        return crossing.cost(self._kib(route))
+        return cross_domain.cost(self._kib(route))
 
     def _kib(self, route: messages.Route) -> float:
         """Return how much a route's calls carry as a rule, both ways."""
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -19,18 +19,18 @@
 from . import bodies
 from . import effects
 from . import occupancy as occupancies
-from . import pace as paces
+from . import processing_time as processing_times
 from . import quarantine as quarantines
 from . import warmup as warmups
 
 # The origin of what this host's own proxy forwards.
 LOCAL = "local"
-CRASH_GATHER_MS = 50
+CRASH_WINDOW_MS = 50
 RECENT_REQUESTS = 4096
-LEAVING_RETRY_MS = 100
-MIN_WAIT_MS = 20
+DEFAULT_RETRY_MS = 100
+MIN_RETRY_MS = 20
 # A request that is surely a repeat, since its entry proxy sent it before.
-PAID_PERMILLE = 1000
+CERTAIN_PERMILLE = 1000
 NOT_RUN_HEADER = b"x-trefoil-not-run"
 EVACUATED = "the failure domain is evacuated"
 # A target at a reused address that is not the one named answers this.
@@ -43,10 +43,12 @@
 
     record: messages.TargetRecord
     port: int
-    slots: admission.Admission
+    slots: admission.AdmissionController
     draining: bool = False
-    told_cold: bool = False
-    pace: paces.Pace = dataclasses.field(default_factory=paces.Pace)
+    advertised_cold: bool = False
+    processing_time: processing_times.ProcessingTime = dataclasses.field(
+        default_factory=processing_times.ProcessingTime
+    )
     occupancy: occupancies.Occupancy = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
@@ -58,35 +60,35 @@
             return True
         return self.record.state == messages.TargetState.COLD
 
-    def told(self, now_ms: int) -> messages.TargetRecord:
+    def advertised_record(self, now_ms: int) -> messages.TargetRecord:
         """Return its record as other proxies learn it."""
-        told = copy.copy(self.record)
-        told.usual_us = self.pace.tell()
-        self.told_cold = self.is_cold(now_ms)
+        advertised = copy.copy(self.record)
+        advertised.usual_us = self.processing_time.report()
+        self.advertised_cold = self.is_cold(now_ms)
         if self.draining:
-            return told
-        told.state = messages.TargetState.READY
-        if self.told_cold:
-            told.state = messages.TargetState.COLD
+            return advertised
+        advertised.state = messages.TargetState.READY
+        if self.advertised_cold:
+            advertised.state = messages.TargetState.COLD
             limit = self.slots.warmup.limit
-            told.cold_per_s = limit.per_s if limit else 0.0
-        return told
+            advertised.cold_per_s = limit.per_s if limit else 0.0
+        return advertised
 
 
 @dataclasses.dataclass(slots=True)
-class Running:
+class TrackedRequest:
     """A request that is queued at or running on a local target."""
 
     origin: str
     request: messages.Request
     target: str
-    came_ms: int
+    received_ms: int
     deadline_at_ms: int
     dispatched_ms: int = -1
     calls: float = 0.0
 
     @property
-    def runs(self) -> bool:
+    def is_dispatched(self) -> bool:
         """Tell whether its target has it."""
         return self.dispatched_ms >= 0
 
@@ -105,9 +107,9 @@
 class Crash:
     """Requests whose connections broke at nearly the same time."""
 
-    since_ms: int
-    victims: list[Running]
-    checking: bool = False
+    first_break_ms: int
+    requests: list[TrackedRequest]
+    check_pending: bool = False
 
 
 class TargetSide:
@@ -127,7 +129,7 @@
         "rng",
         "targets",
         "running",
-        "arrivals",
+        "incoming_bodies",
         "recent",
         "crashes",
         "leaving",
@@ -149,8 +151,8 @@
         self.quarantine = quarantine
         self.rng = rng
         self.targets: dict[str, LocalTarget] = {}
-        self.running: dict[int, Running] = {}
-        self.arrivals = bodies.Arrivals()
+        self.running: dict[int, TrackedRequest] = {}
+        self.incoming_bodies = bodies.IncomingBodies()
         self.recent: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
@@ -173,10 +175,14 @@
 
     def repeat_share(self, part: float) -> float:
         """Return how likely a request that comes now is a repeat's call."""
-        runs = [entry for entry in self.running.values() if entry.runs]
-        return self.parents.repeat_share(runs, part)
+        is_dispatched = [
+            tracked
+            for tracked in self.running.values()
+            if tracked.is_dispatched
+        ]
+        return self.parents.repeat_share(is_dispatched, part)
 
-    def limit_cold(self, limits: dict[str, warmups.Limit]) -> None:
+    def set_cold_limits(self, limits: dict[str, warmups.Limit]) -> None:
         """Take what cold targets may get, by service."""
         self.limits = limits
         for target in self.targets.values():
@@ -208,7 +214,7 @@
         if known is None:
             warmup = warmups.Warmup(limit)
             warmup.announce(warmup_left_ms, now_ms)
-            slots = admission.Admission(record.slots, warmup)
+            slots = admission.AdmissionController(record.slots, warmup)
             self.targets[record.name] = LocalTarget(
                 record, port, slots, draining
             )
@@ -219,7 +225,7 @@
         known.slots.slots = record.slots
         known.draining = draining
         if draining:
-            self._give_back(record.name, "the target is draining", now_ms)
+            self._refuse_waiting(record.name, "the target is draining", now_ms)
         return self._flush()
 
     def keep_routes(self, names: collections.abc.Container[str]) -> None:
@@ -227,14 +233,14 @@
         self.origins.keep_only(names)
         self.parents.keep_only(names)
 
-    def drop_target(self, name: str, now_ms: int) -> list[typing.Any]:
+    def remove_target(self, name: str, now_ms: int) -> list[typing.Any]:
         """Remove a target; what runs on it goes on to its end."""
         self.now_ms = now_ms
         target = self.targets.get(name)
         if target is None:
             return []
         target.draining = True
-        self._give_back(name, "the target left", now_ms)
+        self._refuse_waiting(name, "the target left", now_ms)
         if not target.slots.running:
             self.targets.pop(name, None)
         return self._flush()
@@ -249,12 +255,12 @@
         self.evacuated = evacuated
         for name in list(self.targets):
             if evacuated:
-                self._give_back(name, EVACUATED, now_ms)
+                self._refuse_waiting(name, EVACUATED, now_ms)
             else:
-                self._presume_cold(name, now_ms)
+                self._assume_cold(name, now_ms)
         return self._flush()
 
-    def _presume_cold(self, name: str, now_ms: int) -> None:
+    def _assume_cold(self, name: str, now_ms: int) -> None:
         """Take a target for cold until it was asked.
 
         It may have turned cold without a word, and its next announcement may
@@ -272,43 +278,48 @@
         if target is not None:
             target.slots.warmup.tell(left_ms, now_ms)
 
-    def _give_back(self, name: str, reason: str, now_ms: int) -> None:
+    def _refuse_waiting(self, name: str, reason: str, now_ms: int) -> None:
         """Refuse what waits at a target for a slot or for its body.
 
         Both can take seconds, and a target that leaves must get nothing by
         then. The entry proxies may send it elsewhere: it has not run.
         """
         waiting = [
-            entry
-            for entry in self.running.values()
-            if entry.target == name and not entry.runs
+            tracked
+            for tracked in self.running.values()
+            if tracked.target == name and not tracked.is_dispatched
         ]
         slots = self.targets[name].slots
-        for entry in waiting:
-            slots.withdraw(entry.request.request_id)
-            self._drop(entry.request.request_id, now_ms)
-            self._refuse(entry, reason)
+        for tracked in waiting:
+            slots.withdraw(tracked.request.request_id)
+            self._remove(tracked.request.request_id, now_ms)
+            self._refuse(tracked, reason)
 
     def busy(self, name: str) -> int:
         """Return how many requests run on a target."""
         target = self.targets.get(name)
         return target.slots.running if target else 0
 
-    def has_paces_to_tell(self) -> bool:
+    def has_processing_times_to_report(self) -> bool:
         """Tell whether other proxies should hear of a target's pace."""
-        return any(target.pace.is_news for target in self.targets.values())
+        return any(
+            target.processing_time.should_report
+            for target in self.targets.values()
+        )
 
-    def has_turned(self, now_ms: int) -> bool:
+    def has_cold_state_changed(self, now_ms: int) -> bool:
         """Tell whether a target is cold, or warm, that was told otherwise."""
         return any(
-            target.is_cold(now_ms) != target.told_cold
+            target.is_cold(now_ms) != target.advertised_cold
             for target in self.targets.values()
         )
 
-    def told(self, name: str, now_ms: int) -> messages.TargetRecord | None:
+    def advertised_record(
+        self, name: str, now_ms: int
+    ) -> messages.TargetRecord | None:
         """Return a target's record as other proxies learn it."""
         target = self.targets.get(name)
-        return target.told(now_ms) if target is not None else None
+        return target.advertised_record(now_ms) if target is not None else None
 
     # Requests
 
@@ -328,24 +339,24 @@
             return []
         self._remember(request.request_id)
         self.origins.note(request.route, request.services_key or "")
-        entry = Running(
+        tracked = TrackedRequest(
             origin,
             request,
             request.target,
-            came_ms=now_ms,
+            received_ms=now_ms,
             deadline_at_ms=now_ms + request.deadline_ms,
         )
-        reason = self._refusal(request)
+        reason = self._refusal_reason(request)
         if reason:
-            self._refuse(entry, reason)
+            self._refuse(tracked, reason)
             return self._flush()
         if self.quarantine.refuses(request.fingerprint, now_ms):
-            self._refuse(entry, "quarantined", status=422)
+            self._refuse(tracked, "quarantined", status=422)
             return self._flush()
-        self._admit(entry, now_ms)
+        self._admit(tracked, now_ms)
         return self._flush()
 
-    def _refusal(self, request: messages.Request) -> str:
+    def _refusal_reason(self, request: messages.Request) -> str:
         target = self.targets.get(request.target)
         if self.leaving:
             return "the host is leaving"
@@ -361,151 +372,158 @@
             return "the target has another version"
         return ""
 
-    def _admit(self, entry: Running, now_ms: int) -> None:
+    def _admit(self, tracked: TrackedRequest, now_ms: int) -> None:
         """Let a request in, its body first if that is to come.
 
         A slot is taken once the body is here. Held while it is on its way,
         the target would stand idle with all of its slots taken.
         """
-        if entry.request.body_bytes:
-            self._admit_body(entry, now_ms)
+        if tracked.request.body_bytes:
+            self._admit_body(tracked, now_ms)
         else:
-            self._admit_run(entry, now_ms)
+            self._admit_run(tracked, now_ms)
 
-    def _admit_body(self, entry: Running, now_ms: int) -> None:
+    def _admit_body(self, tracked: TrackedRequest, now_ms: int) -> None:
         """Ask for a body if its run can follow, else refuse it at once.
 
         Told before a byte of it is sent, the request can go to another host,
         or its caller can come back.
         """
-        request = entry.request
-        prospect = self._prospect(entry, now_ms)
-        if not self._may_come(entry, prospect):
+        request = tracked.request
+        estimate = self._estimate(tracked, now_ms)
+        if not self._may_request_body(tracked, estimate):
             self._refuse(
-                entry,
+                tracked,
                 "its body can't come in time",
                 wait_ms=self._link_free_in_ms(),
                 full=True,
             )
             return
-        self.running[request.request_id] = entry
-        self.out += self.arrivals.want(
+        self.running[request.request_id] = tracked
+        self.out += self.incoming_bodies.add(
             request.request_id,
-            entry.origin,
+            tracked.origin,
             request.body_bytes,
-            now_ms + prospect.aim_ms - prospect.safe_run_ms,
+            now_ms + estimate.latency_target_ms - estimate.safe_run_ms,
             now_ms,
         )
 
-    def _may_come(self, entry: Running, prospect: bodies.Prospect) -> bool:
+    def _may_request_body(
+        self, tracked: TrackedRequest, estimate: bodies.BodyEstimate
+    ) -> bool:
         """Tell whether a body may be asked for.
 
         As with slots, what may still go elsewhere does not wait here: its
         entry proxy learns how long they are taken, and finds free ones.
         """
-        if not entry.request.settled:
-            taken = self.arrivals.is_taken(self.now_ms)
-            return not taken and prospect.is_served_at_once
-        return prospect.is_in_time or prospect.is_late_but_welcome
+        if not tracked.request.settled:
+            is_busy = self.incoming_bodies.is_busy(self.now_ms)
+            return not is_busy and estimate.starts_at_once
+        return estimate.meets_latency_target or estimate.meets_deadline
 
     def _link_free_in_ms(self) -> int:
         """Return when the link is expected to have a pause."""
-        return max(self.arrivals.expected_last_ms(), MIN_WAIT_MS)
+        return max(self.incoming_bodies.expected_last_ms(), MIN_RETRY_MS)
 
-    def _prospect(self, entry: Running, now_ms: int) -> bodies.Prospect:
-        request = entry.request
+    def _estimate(
+        self, tracked: TrackedRequest, now_ms: int
+    ) -> bodies.BodyEstimate:
+        request = tracked.request
         size = request.body_bytes
-        slots = self.targets[entry.target].slots
-        usual = slots.usual(request.route)
-        return bodies.Prospect(
-            body_ms=self.arrivals.expected_ms(now_ms, size),
-            last_ms=self.arrivals.expected_last_ms(size),
-            slot_ms=slots.forecast_ms(_waiting(entry), now_ms),
-            run_ms=usual.mean_ms,
-            safe_run_ms=usual.safe_ms,
-            aim_ms=request.aim_ms or request.deadline_ms,
-            deadline_ms=request.deadline_ms - admission.TELL_MS,
+        slots = self.targets[tracked.target].slots
+        run_time = slots.run_time(request.route)
+        return bodies.BodyEstimate(
+            body_ms=self.incoming_bodies.expected_ms(now_ms, size),
+            last_ms=self.incoming_bodies.expected_last_ms(size),
+            slot_ms=slots.expected_wait_ms(_queued_request(tracked), now_ms),
+            run_ms=run_time.mean_ms,
+            safe_run_ms=run_time.safe_ms,
+            latency_target_ms=request.aim_ms or request.deadline_ms,
+            deadline_ms=request.deadline_ms - admission.REPLY_MS,
         )
 
-    def _admit_run(self, entry: Running, now_ms: int) -> None:
-        request = entry.request
-        decision = self.targets[entry.target].slots.offer(
-            _waiting(entry), now_ms, settled=bool(request.settled)
+    def _admit_run(self, tracked: TrackedRequest, now_ms: int) -> None:
+        request = tracked.request
+        decision = self.targets[tracked.target].slots.offer(
+            _queued_request(tracked), now_ms, may_queue=bool(request.settled)
         )
         match decision:
             case admission.Admitted():
-                self.running[request.request_id] = entry
-                self._dispatch(entry, now_ms)
+                self.running[request.request_id] = tracked
+                self._dispatch(tracked, now_ms)
             case admission.Queued():
-                self.running[request.request_id] = entry
+                self.running[request.request_id] = tracked
                 if decision.evicted:
                     self._refuse_evicted(decision.evicted, now_ms)
             case admission.Refused():
                 self.running.pop(request.request_id, None)
                 self._refuse(
-                    entry,
+                    tracked,
                     "no slot in time",
                     wait_ms=decision.retry_after_ms,
                     full=True,
                 )
 
     def _refuse_evicted(self, request_id: int, now_ms: int) -> None:
-        entry = self._drop(request_id, now_ms)
-        slots = self.targets[entry.target].slots
+        tracked = self._remove(request_id, now_ms)
+        slots = self.targets[tracked.target].slots
         self._refuse(
-            entry,
+            tracked,
             "a more urgent request took its place",
             wait_ms=max(int(slots.wait_ms(now_ms)), 1),
         )
 
-    def _drop(self, request_id: int, now_ms: int) -> Running:
+    def _remove(self, request_id: int, now_ms: int) -> TrackedRequest:
         """Forget a request and the body that is on its way."""
-        if self.arrivals.waits_for(request_id):
-            self.out += self.arrivals.drop(request_id, now_ms)
+        if self.incoming_bodies.waits_for(request_id):
+            self.out += self.incoming_bodies.remove(request_id, now_ms)
         return self.running.pop(request_id)
 
-    def on_body_piece(
-        self, piece: messages.BodyPiece, now_ms: int
+    def on_body_chunk(
+        self, chunk: messages.BodyPiece, now_ms: int
     ) -> list[typing.Any]:
         """Take a piece of a request's body; run it if that was the last."""
         self.now_ms = now_ms
-        whole, asked = self.arrivals.take(piece, now_ms)
-        self.out += asked
-        entry = self.running.get(piece.request_id)
-        if whole is not None and entry is not None:
-            entry.request.body = whole
+        complete, chunk_requests = self.incoming_bodies.receive(chunk, now_ms)
+        self.out += chunk_requests
+        tracked = self.running.get(chunk.request_id)
+        if complete is not None and tracked is not None:
+            tracked.request.body = complete
             # What it took to bring it here is lost if it goes elsewhere.
-            entry.request.settled = True
-            occupancy = self.targets[entry.target].occupancy
-            occupancy.body_came(now_ms - entry.came_ms)
-            self._admit_run(entry, now_ms)
+            tracked.request.settled = True
+            occupancy = self.targets[tracked.target].occupancy
+            occupancy.body_came(now_ms - tracked.received_ms)
+            self._admit_run(tracked, now_ms)
         return self._flush()
 
-    def _dispatch(self, entry: Running, now_ms: int) -> None:
+    def _dispatch(self, tracked: TrackedRequest, now_ms: int) -> None:
         """Run a request that has a slot."""
-        entry.dispatched_ms = now_ms
-        if entry.request.repeat_permille == PAID_PERMILLE:
-            request_id = entry.request.request_id
-            self.out.append(effects.Arrived(entry.origin, request_id))
-        target = self.targets[entry.target]
+        tracked.dispatched_ms = now_ms
+        if tracked.request.repeat_permille == CERTAIN_PERMILLE:
+            request_id = tracked.request.request_id
+            self.out.append(effects.Arrived(tracked.origin, request_id))
+        target = self.targets[tracked.target]
         self.out.append(
             effects.Dispatch(
-                entry.target, target.port, entry.request, entry.deadline_at_ms
+                tracked.target,
+                target.port,
+                tracked.request,
+                tracked.deadline_at_ms,
             )
         )
 
     def on_cancel(self, request_id: int, now_ms: int) -> list[typing.Any]:
         """Stop a request whose caller went away."""
         self.now_ms = now_ms
-        entry = self.running.get(request_id)
-        if entry is None:
+        tracked = self.running.get(request_id)
+        if tracked is None:
             return []
-        if entry.runs:
+        if tracked.is_dispatched:
             self.out.append(effects.Abort(request_id))
-            self._release(entry, now_ms)
+            self._release(tracked, now_ms)
         else:
-            self.targets[entry.target].slots.withdraw(request_id)
-            self._drop(request_id, now_ms)
+            self.targets[tracked.target].slots.withdraw(request_id)
+            self._remove(request_id, now_ms)
         return self._flush()
 
     # What targets do
@@ -515,26 +533,28 @@
     ) -> list[typing.Any]:
         """Take a target's whole answer."""
         self.now_ms = now_ms
-        entry = self.running.get(answer.request_id)
-        if entry is None:
+        tracked = self.running.get(answer.request_id)
+        if tracked is None:
             return []
-        said_so = self.not_run_header in (answer.headers or b"").lower()
-        shed = said_so or answer.status == MISDIRECTED
+        declared_not_run = (
+            self.not_run_header in (answer.headers or b"").lower()
+        )
+        shed = declared_not_run or answer.status == MISDIRECTED
         answer.ran = not shed
         answer.shed = shed
         if not shed:
-            self._note_pace(entry, answer)
-        self._release(entry, now_ms, took=not shed)
-        answer.called_permille = self._called_permille(entry.request)
-        self._reply(entry, answer)
+            self._record_processing_time(tracked, answer)
+        self._release(tracked, now_ms, completed=not shed)
+        answer.called_permille = self._called_permille(tracked.request)
+        self._reply(tracked, answer)
         return self._flush()
 
-    def _reply(self, entry: Running, answer: messages.Answer) -> None:
+    def _reply(self, tracked: TrackedRequest, answer: messages.Answer) -> None:
         """Send an answer, with what its entry proxy should know of here."""
-        answer.load = self._load_of(entry.target)
-        answer.body_wait_ms = self.arrivals.expected_ms(self.now_ms)
-        answer.held_ms = self.now_ms - entry.came_ms
-        self.out.append(effects.Reply(entry.origin, answer))
+        answer.load = self._load_of(tracked.target)
+        answer.body_wait_ms = self.incoming_bodies.expected_ms(self.now_ms)
+        answer.held_ms = self.now_ms - tracked.received_ms
+        self.out.append(effects.Reply(tracked.origin, answer))
 
     def _called_permille(self, request: messages.Request) -> int:
         """Return which part of such requests its proxy's targets send."""
@@ -543,28 +563,30 @@
         )
         return int(1000 * share)
 
-    def _note_pace(self, entry: Running, answer: messages.Answer) -> None:
+    def _record_processing_time(
+        self, tracked: TrackedRequest, answer: messages.Answer
+    ) -> None:
         """Learn from an answer how fast its target is, and say so in it."""
-        target = self.targets.get(entry.target)
+        target = self.targets.get(tracked.target)
         if target is None:
             return
         if answer.service_us and not target.is_cold(self.now_ms):
             # A cold target is slow for seconds, which is told apart.
-            target.pace.note(answer.service_us)
-        answer.usual_us = target.pace.usual_us
+            target.processing_time.add(answer.service_us)
+        answer.usual_us = target.processing_time.usual_us
 
     def on_target_unsent(
         self, request_id: int, now_ms: int
     ) -> list[typing.Any]:
         """Note that no byte of a request reached its target."""
         self.now_ms = now_ms
-        entry = self.running.get(request_id)
-        if entry is not None:
-            self._release(entry, now_ms)
-            self._refuse(entry, "the target does not accept connections")
+        tracked = self.running.get(request_id)
+        if tracked is not None:
+            self._release(tracked, now_ms)
+            self._refuse(tracked, "the target does not accept connections")
         return self._flush()
 
-    def on_target_broke(
+    def on_target_disconnected(
         self, request_id: int, now_ms: int
     ) -> list[typing.Any]:
         """Note that a target's connection broke before the whole answer.
@@ -574,12 +596,12 @@
         that may be its cause.
         """
         self.now_ms = now_ms
-        entry = self.running.get(request_id)
-        if entry is None:
+        tracked = self.running.get(request_id)
+        if tracked is None:
             return []
-        self._release(entry, now_ms)
-        crash = self.crashes.setdefault(entry.target, Crash(now_ms, []))
-        crash.victims.append(entry)
+        self._release(tracked, now_ms)
+        crash = self.crashes.setdefault(tracked.target, Crash(now_ms, []))
+        crash.requests.append(tracked)
         return self._flush()
 
     def tick(self, now_ms: int) -> list[typing.Any]:
@@ -588,17 +610,17 @@
         for target in list(self.targets.values()):
             for request_id in target.slots.expired(now_ms):
                 self._refuse(
-                    self._drop(request_id, now_ms),
+                    self._remove(request_id, now_ms),
                     "no slot in time",
                     wait_ms=max(int(target.slots.wait_ms(now_ms)), 1),
                 )
             self._start_waiting(target, now_ms)
-        for entry in list(self.running.values()):
-            self._end_in_time(entry, now_ms)
-        self.out += self.arrivals.tick(now_ms)
+        for tracked in list(self.running.values()):
+            self._expire(tracked, now_ms)
+        self.out += self.incoming_bodies.tick(now_ms)
         for name, crash in list(self.crashes.items()):
-            if now_ms - crash.since_ms >= CRASH_GATHER_MS:
-                self._settle(name, crash)
+            if now_ms - crash.first_break_ms >= CRASH_WINDOW_MS:
+                self._check_crash(name, crash)
         for target in self.targets.values():
             moment = self._moment(target)
             self.out += target.occupancy.tell(moment, now_ms)
@@ -610,40 +632,40 @@
             slots=target.slots.slots,
             running=target.slots.running,
             queued=len(target.slots.queue),
-            bodies=len(self.arrivals.waiting),
-            body_wait_ms=self.arrivals.expected_ms(self.now_ms),
+            bodies=len(self.incoming_bodies.waiting),
+            body_wait_ms=self.incoming_bodies.expected_ms(self.now_ms),
         )
 
-    def _end_in_time(self, entry: Running, now_ms: int) -> None:
+    def _expire(self, tracked: TrackedRequest, now_ms: int) -> None:
         """End a request whose time is over, or whose body comes too late."""
-        if entry.runs:
-            if now_ms >= entry.deadline_at_ms:
-                self._time_out(entry, now_ms)
-        elif self._body_comes_too_late(entry, now_ms):
-            self._drop(entry.request.request_id, now_ms)
+        if tracked.is_dispatched:
+            if now_ms >= tracked.deadline_at_ms:
+                self._time_out(tracked, now_ms)
+        elif self._is_body_too_late(tracked, now_ms):
+            self._remove(tracked.request.request_id, now_ms)
             self._refuse(
-                entry,
+                tracked,
                 "its body did not come in time",
                 wait_ms=self._link_free_in_ms(),
             )
 
-    def _body_comes_too_late(self, entry: Running, now_ms: int) -> bool:
+    def _is_body_too_late(self, tracked: TrackedRequest, now_ms: int) -> bool:
         """Tell whether a body that was let in can't be here in time.
 
         One that others go before waits for a pause of the link. Kept until
         its deadline, its caller could not even come back.
         """
-        request_id = entry.request.request_id
-        if not self.arrivals.waits_for(request_id):
+        request_id = tracked.request.request_id
+        if not self.incoming_bodies.waits_for(request_id):
             return False
-        usual = self.targets[entry.target].slots.usual(entry.route)
+        run_time = self.targets[tracked.target].slots.run_time(tracked.route)
         starts_ms = now_ms
-        if self.arrivals.is_put_off(request_id, now_ms):
-            starts_ms += self.arrivals.expected_last_ms()
-        ends_ms = starts_ms + max(usual.mean_ms, admission.TELL_MS)
-        return ends_ms > entry.deadline_at_ms
+        if self.incoming_bodies.is_deferred(request_id, now_ms):
+            starts_ms += self.incoming_bodies.expected_last_ms()
+        ends_ms = starts_ms + max(run_time.mean_ms, admission.REPLY_MS)
+        return ends_ms > tracked.deadline_at_ms
 
-    def _settle(self, name: str, crash: Crash) -> None:
+    def _check_crash(self, name: str, crash: Crash) -> None:
         """Find out whether a target crashed or only broke answers off.
 
         A target that lives and breaks one answer in fifty off would else
@@ -652,41 +674,41 @@
         target = self.targets.get(name)
         if target is None:
             del self.crashes[name]
-            self._tell_crash(crash)
-        elif not crash.checking:
-            crash.checking = True
+            self._report_crash(crash)
+        elif not crash.check_pending:
+            crash.check_pending = True
             self.out.append(effects.CheckTarget(name, target.port))
 
     def on_target_checked(self, name: str, accepts: bool) -> list[typing.Any]:
         """Take whether a target whose connections broke takes new ones."""
         crash = self.crashes.pop(name, None)
         if crash is not None and accepts:
-            self._tell_broken(crash)
+            self._report_broken(crash)
         elif crash is not None:
-            self._tell_crash(crash)
+            self._report_crash(crash)
         return self._flush()
 
-    def _tell_broken(self, crash: Crash) -> None:
-        for victim in crash.victims:
-            self._note("target.broke_off", victim)
+    def _report_broken(self, crash: Crash) -> None:
+        for tracked in crash.requests:
+            self._note("target.broke_off", tracked)
             answer = messages.Answer(
-                request_id=victim.request.request_id,
+                request_id=tracked.request.request_id,
                 status=502,
                 reason="the target broke its answer off",
                 ran=True,
                 unusable=True,
             )
-            self._reply(victim, answer)
+            self._reply(tracked, answer)
 
-    def _time_out(self, entry: Running, now_ms: int) -> None:
-        request_id = entry.request.request_id
+    def _time_out(self, tracked: TrackedRequest, now_ms: int) -> None:
+        request_id = tracked.request.request_id
         self.out.append(effects.Abort(request_id))
         self._note(
-            "target.timed_out", entry, ran_ms=now_ms - entry.dispatched_ms
+            "target.timed_out", tracked, ran_ms=now_ms - tracked.dispatched_ms
         )
-        self._release(entry, now_ms)
+        self._release(tracked, now_ms)
         self._reply(
-            entry,
+            tracked,
             messages.Answer(
                 request_id=request_id,
                 status=504,
@@ -695,90 +717,93 @@
             ),
         )
 
-    def _tell_crash(self, crash: Crash) -> None:
-        prints = sorted({v.request.fingerprint for v in crash.victims})
-        sole = len(crash.victims) == 1
+    def _report_crash(self, crash: Crash) -> None:
+        fingerprints = sorted({v.request.fingerprint for v in crash.requests})
+        sole = len(crash.requests) == 1
         notice = messages.CrashNotice(
             notice_id=self.rng.getrandbits(62),
-            fingerprints=prints,
+            fingerprints=fingerprints,
             age_ms=0,
             cleared=False,
         )
-        self.quarantine.hear(notice, crash.since_ms)
+        self.quarantine.hear(notice, crash.first_break_ms)
         self.out.append(effects.Flood(notice))
-        for victim in crash.victims:
-            self._note("target.crashed", victim, sole=sole)
+        for tracked in crash.requests:
+            self._note("target.crashed", tracked, sole=sole)
             answer = messages.Answer(
-                request_id=victim.request.request_id,
+                request_id=tracked.request.request_id,
                 status=502,
                 reason="the target broke off",
                 ran=True,
                 crashed=True,
                 sole=sole,
             )
-            self._reply(victim, answer)
+            self._reply(tracked, answer)
 
     # Common
 
     def _release(
-        self, entry: Running, now_ms: int, *, took: bool = False
+        self, tracked: TrackedRequest, now_ms: int, *, completed: bool = False
     ) -> None:
-        request_id = entry.request.request_id
+        request_id = tracked.request.request_id
         if request_id in self.running:
-            self._drop(request_id, now_ms)
-        target = self.targets.get(entry.target)
+            self._remove(request_id, now_ms)
+        target = self.targets.get(tracked.target)
         if target is None:
             return
-        took_ms = now_ms - entry.dispatched_ms if took else None
-        if took:
-            self.parents.ended(entry)
-        target.slots.finished(took_ms, entry.request.route)
+        took_ms = now_ms - tracked.dispatched_ms if completed else None
+        if completed:
+            self.parents.ended(tracked)
+        target.slots.finished(took_ms, tracked.request.route)
         self._start_waiting(target, now_ms)
         if target.draining and not target.slots.running:
-            self.targets.pop(entry.target, None)
+            self.targets.pop(tracked.target, None)
 
     def _start_waiting(self, target: LocalTarget, now_ms: int) -> None:
         """Run the queued requests that a target may get now."""
-        following = target.slots.next_admitted(now_ms)
-        while following is not None:
-            self._dispatch(self.running[following], now_ms)
-            following = target.slots.next_admitted(now_ms)
+        request_id = target.slots.next_admitted(now_ms)
+        while request_id is not None:
+            self._dispatch(self.running[request_id], now_ms)
+            request_id = target.slots.next_admitted(now_ms)
 
     def _refuse(
         self,
-        entry: Running,
+        tracked: TrackedRequest,
         reason: str,
         *,
         status: int = 503,
-        wait_ms: int = LEAVING_RETRY_MS,
+        wait_ms: int = DEFAULT_RETRY_MS,
         full: bool = False,
     ) -> None:
         answer = messages.Answer(
-            request_id=entry.request.request_id,
+            request_id=tracked.request.request_id,
             status=status,
             reason=reason,
             ran=False,
             retry_after_ms=wait_ms,
             full=full,
         )
-        self._reply(entry, answer)
-        target = self.targets.get(entry.target)
+        self._reply(tracked, answer)
+        target = self.targets.get(tracked.target)
         if target is not None:
             target.occupancy.refuse(reason)
-        if not full or entry.request.settled:
-            self._note("target.refused", entry, why=reason, wait_ms=wait_ms)
+        if not full or tracked.request.settled:
+            self._note("target.refused", tracked, why=reason, wait_ms=wait_ms)
 
-    def _note(self, event: str, entry: Running, **fields: typing.Any) -> None:
+    def _note(
+        self, event: str, tracked: TrackedRequest, **fields: typing.Any
+    ) -> None:
         """Log a decision on a request, with its caller's id."""
-        target = self.targets.get(entry.target)
+        target = self.targets.get(tracked.target)
         slots = target.slots if target is not None else None
         self.out.append(
             common.Note(
                 event,
                 {
-                    "id": entry.request.caller_id or entry.request.request_id,
-                    "target": entry.target,
-                    "from": entry.origin,
+                    "id": tracked.request.caller_id
+                    or tracked.request.request_id,
+                    "target": tracked.target,
+                    "from": tracked.origin,
                     "running": slots.running if slots else 0,
                     "queued": len(slots.queue) if slots else 0,
                 }
@@ -801,13 +826,13 @@
         return out
 
 
-def _waiting(entry: Running) -> admission.Waiting:
+def _queued_request(tracked: TrackedRequest) -> admission.QueuedRequest:
     """Return a request as it would wait for a slot."""
-    request = entry.request
-    return admission.Waiting(
+    request = tracked.request
+    return admission.QueuedRequest(
         request.request_id,
-        entry.deadline_at_ms,
-        entry.came_ms + request.aim_ms if request.aim_ms else 0,
+        tracked.deadline_at_ms,
+        tracked.received_ms + request.aim_ms if request.aim_ms else 0,
         request.priority or 0,
         request.route,
     )
--- a/libs/requests/tests/test_admission.py
+++ b/libs/requests/tests/test_admission.py
@@ -11,29 +11,39 @@
 
 
 def test_free_slots_admit() -> None:
-    gate = admission.Admission(2)
-    assert gate.offer(admission.Waiting(1, FAR_MS), 0) == admission.Admitted()
-    assert gate.offer(admission.Waiting(2, FAR_MS), 0) == admission.Admitted()
-    assert gate.offer(admission.Waiting(3, FAR_MS), 0) == admission.Queued()
-    gate.finished(10)
-    assert gate.next_admitted() == 3
+    controller = admission.AdmissionController(2)
+    assert (
+        controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
+        == admission.Admitted()
+    )
+    assert (
+        controller.offer(admission.QueuedRequest(2, FAR_MS), 0)
+        == admission.Admitted()
+    )
+    assert (
+        controller.offer(admission.QueuedRequest(3, FAR_MS), 0)
+        == admission.Queued()
+    )
+    controller.finished(10)
+    assert controller.next_admitted() == 3
 
 
 def test_a_hopeless_request_is_refused_at_once() -> None:
     """The queue would take longer than the request has."""
-    gate = admission.Admission(1)
-    gate.service_ms = 100
-    gate.offer(admission.Waiting(1, FAR_MS), 0)
-    gate.offer(admission.Waiting(2, FAR_MS), 0)
-    decision = gate.offer(admission.Waiting(3, 150), 0)
+    controller = admission.AdmissionController(1)
+    controller.service_ms = 100
+    controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
+    controller.offer(admission.QueuedRequest(2, FAR_MS), 0)
+    decision = controller.offer(admission.QueuedRequest(3, 150), 0)
     assert isinstance(decision, admission.Refused)
     assert decision.retry_after_ms >= 100
 
 
 def test_the_queue_is_bounded() -> None:
-    gate = admission.Admission(2)
+    controller = admission.AdmissionController(2)
     decisions = [
-        gate.offer(admission.Waiting(n, FAR_MS), 0) for n in range(20)
+        controller.offer(admission.QueuedRequest(n, FAR_MS), 0)
+        for n in range(20)
     ]
     refused = [d for d in decisions if isinstance(d, admission.Refused)]
     assert len(refused) == 20 - 2 - 2 * admission.QUEUE_PER_SLOT
@@ -51,22 +61,22 @@
     entry proxy hears that it did not run before it gives up itself. Told
     later, a request that may not be repeated ended as one of unknown fate.
     """
-    gate = admission.Admission(1)
-    gate.service_ms = usual_ms
-    gate.offer(admission.Waiting(1, FAR_MS), 0)
-    gate.offer(admission.Waiting(2, 200), 0)
-    assert gate.expired(kept_ms) == []
-    assert gate.expired(given_up_ms) == [2]
-    gate.finished()
-    assert gate.next_admitted() is None
+    controller = admission.AdmissionController(1)
+    controller.service_ms = usual_ms
+    controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
+    controller.offer(admission.QueuedRequest(2, 200), 0)
+    assert controller.expired(kept_ms) == []
+    assert controller.expired(given_up_ms) == [2]
+    controller.finished()
+    assert controller.next_admitted() is None
 
 
-class Gate(stateful.RuleBasedStateMachine):
+class AdmissionMachine(stateful.RuleBasedStateMachine):
     """Slots never run over, every request has one fate."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.gate = admission.Admission(3)
+        self.controller = admission.AdmissionController(3)
         self.now_ms = 0
         self.number = 0
         self.running: set[int] = set()
@@ -75,8 +85,8 @@
     @stateful.rule(within_ms=st.integers(1, 200))
     def offer(self, within_ms: int) -> None:
         self.number += 1
-        waiting = admission.Waiting(self.number, self.now_ms + within_ms)
-        decision = self.gate.offer(waiting, self.now_ms)
+        waiting = admission.QueuedRequest(self.number, self.now_ms + within_ms)
+        decision = self.controller.offer(waiting, self.now_ms)
         if isinstance(decision, admission.Admitted):
             self.running.add(self.number)
         elif isinstance(decision, admission.Queued):
@@ -88,8 +98,8 @@
     def finish(self, took_ms: int) -> None:
         if self.running:
             self.running.pop()
-            self.gate.finished(took_ms)
-            following = self.gate.next_admitted()
+            self.controller.finished(took_ms)
+            following = self.controller.next_admitted()
             if following is not None:
                 self.queued.remove(following)
                 self.running.add(following)
@@ -97,23 +107,25 @@
     @stateful.rule()
     def withdraw(self) -> None:
         if self.queued:
-            assert self.gate.withdraw(self.queued.pop())
+            assert self.controller.withdraw(self.queued.pop())
 
     @stateful.rule(by_ms=st.integers(1, 100))
     def time_passes(self, by_ms: int) -> None:
         self.now_ms += by_ms
-        for number in self.gate.expired(self.now_ms):
+        for number in self.controller.expired(self.now_ms):
             self.queued.remove(number)
 
     @stateful.invariant()
     def bounded(self) -> None:
-        assert self.gate.running == len(self.running) <= 3
-        assert len(self.gate.queue) == len(self.queued)
+        assert self.controller.running == len(self.running) <= 3
+        assert len(self.controller.queue) == len(self.queued)
         assert len(self.queued) <= 3 * admission.QUEUE_PER_SLOT
 
 
-TestGate = Gate.TestCase
-TestGate.settings = settings(max_examples=60, stateful_step_count=40)
+TestAdmissionController = AdmissionMachine.TestCase
+TestAdmissionController.settings = settings(
+    max_examples=60, stateful_step_count=40
+)
 
 
 def test_a_burst_is_served_by_what_can_still_be_in_time() -> None:
@@ -123,8 +135,8 @@
     are in time, one of them on the urgent route. By what can be in time it
     is 22 of 23, with all ten of the urgent route.
     """
-    gate = admission.Admission(1)
-    gate.service_ms = 100
+    controller = admission.AdmissionController(1)
+    controller.service_ms = 100
     finished: dict[int, int] = {}
     running = 0
     ends_ms = 0
@@ -132,21 +144,21 @@
         if running and now_ms >= ends_ms:
             finished[running] = now_ms
             running = 0
-            gate.finished(100)
-            following = gate.next_admitted(now_ms)
+            controller.finished(100)
+            following = controller.next_admitted(now_ms)
             if following is not None:
                 running, ends_ms = following, now_ms + 100
-        for _ in gate.expired(now_ms):
+        for _ in controller.expired(now_ms):
             pass
         if now_ms < 2000 and now_ms % 50 == 0:
             number = now_ms // 50 + 1
-            waiting = admission.Waiting(
+            waiting = admission.QueuedRequest(
                 number,
                 now_ms + 2000,
-                aim_at_ms=now_ms + 300,
+                due_at_ms=now_ms + 300,
                 priority=number % 4 != 0,
             )
-            decision = gate.offer(waiting, now_ms)
+            decision = controller.offer(waiting, now_ms)
             if isinstance(decision, admission.Admitted):
                 running, ends_ms = number, now_ms + 100
     in_time = [n for n, at in finished.items() if at - (n - 1) * 50 <= 300]
@@ -156,23 +168,31 @@
 
 
 def test_an_urgent_request_takes_the_place_of_a_less_urgent_one() -> None:
-    gate = admission.Admission(1)
-    gate.offer(admission.Waiting(1, FAR_MS), 0)
+    controller = admission.AdmissionController(1)
+    controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
     for number in range(2, 2 + admission.QUEUE_PER_SLOT):
-        gate.offer(admission.Waiting(number, FAR_MS, priority=2), 0)
-    decision = gate.offer(admission.Waiting(99, FAR_MS, priority=0), 0)
+        controller.offer(
+            admission.QueuedRequest(number, FAR_MS, priority=2), 0
+        )
+    decision = controller.offer(
+        admission.QueuedRequest(99, FAR_MS, priority=0), 0
+    )
     assert isinstance(decision, admission.Queued)
     assert decision.evicted
-    gate.finished(5)
-    assert gate.next_admitted(10) == 99
+    controller.finished(5)
+    assert controller.next_admitted(10) == 99
 
 
 def test_an_unsettled_request_does_not_wait() -> None:
-    gate = admission.Admission(1)
+    controller = admission.AdmissionController(1)
     assert (
-        gate.offer(admission.Waiting(1, FAR_MS), 0, settled=False)
+        controller.offer(
+            admission.QueuedRequest(1, FAR_MS), 0, may_queue=False
+        )
         == admission.Admitted()
     )
-    decision = gate.offer(admission.Waiting(2, FAR_MS), 0, settled=False)
+    decision = controller.offer(
+        admission.QueuedRequest(2, FAR_MS), 0, may_queue=False
+    )
     assert isinstance(decision, admission.Refused)
-    assert gate.load == 1
+    assert controller.load == 1
--- a/libs/requests/tests/test_balancer.py
+++ b/libs/requests/tests/test_balancer.py
@@ -7,9 +7,9 @@
 
 from trefoil_requests import balancer as balancers
 from trefoil_requests import budget
-from trefoil_requests import crossing
+from trefoil_requests import cross_domain
 from trefoil_requests import routing
-from trefoil_requests import silence
+from trefoil_requests import silent_connections
 from trefoil_wire import messages
 
 WARM: collections.defaultdict[str, int] = collections.defaultdict(int)
@@ -109,7 +109,7 @@
 
 def test_a_silent_connection_is_found() -> None:
     """One request waits while twenty sent after it were answered."""
-    watch = silence.SilenceWatch()
+    watch = silent_connections.SilentConnectionDetector()
     watch.sent_at(1, 0)
     for number in range(2, 22):
         watch.sent_at(number, number * 20)
@@ -120,7 +120,7 @@
 
 def test_a_slow_target_is_not_taken_for_silent() -> None:
     """All its requests take seconds; none overtakes the others by much."""
-    watch = silence.SilenceWatch()
+    watch = silent_connections.SilentConnectionDetector()
     for number in range(40):
         watch.sent_at(number, number * 100)
     for number in range(20):
@@ -147,8 +147,8 @@
         made.started(f"{name}/t")
         made.answered(f"{name}/t", took_us)
     assert made.pick(both, WARM, now_ms=NOW_MS).host == "b"
-    hurry = crossing.Hurry(500_000, 2_000_000, crossing.cost(5))
-    near = made.pick(both, WARM, now_ms=NOW_MS, hurry=hurry)
+    urgency = cross_domain.Urgency(500_000, 2_000_000, cross_domain.cost(5))
+    near = made.pick(both, WARM, now_ms=NOW_MS, urgency=urgency)
     assert near.host == "a"
 
 
--- a/libs/requests/tests/test_overload.py
+++ b/libs/requests/tests/test_overload.py
@@ -7,7 +7,7 @@
 import typing
 
 from trefoil_requests import admission
-from trefoil_requests import patience as patiences
+from trefoil_requests import original_deadline as originals
 
 SLOTS = 6
 MEAN_MS = 90.0
@@ -42,8 +42,8 @@
 
     def __init__(self, load: float) -> None:
         self.rng = random.Random(1)
-        self.gate = admission.Admission(SLOTS)
-        self.patience = patiences.Patience()
+        self.gate = admission.AdmissionController(SLOTS)
+        self.original_deadlines = originals.OriginalDeadlines()
         self.events: list[tuple[float, int, typing.Any]] = []
         self.numbers = itertools.count(1)
         self.waiting: dict[int, Caller] = {}
@@ -82,13 +82,13 @@
 
     def _arrive(self, caller: Caller, now_ms: float) -> None:
         left_ms = caller.born_ms + PATIENCE_MS - now_ms
-        waited_ms = self.patience.waited_ms("r", int(left_ms))
+        waited_ms = self.original_deadlines.waited_ms("r", int(left_ms))
         number = next(self.numbers)
         self.waiting[number] = caller
-        waiting = admission.Waiting(
+        waiting = admission.QueuedRequest(
             number,
             int(now_ms + min(left_ms, TIMEOUT_MS)),
-            aim_at_ms=int(now_ms) + AIM_MS - waited_ms,
+            due_at_ms=int(now_ms) + AIM_MS - waited_ms,
             route="r",
         )
         decision = self.gate.offer(waiting, int(now_ms))
--- a/libs/requests/tests/test_pace.py
+++ b/libs/requests/tests/test_processing_time.py
@@ -5,13 +5,13 @@
 
 from trefoil_fleet import records
 from trefoil_requests import balancer as balancers
-from trefoil_requests import crossing
-from trefoil_requests import pace as paces
+from trefoil_requests import cross_domain
+from trefoil_requests import processing_time as processing_times
 from trefoil_requests import routing
 from trefoil_wire import messages
 
 # Answers of 5 KiB that are late after 626 ms.
-HURRY = crossing.Hurry(626_000, 4_172_000, crossing.cost(5))
+HURRY = cross_domain.Urgency(626_000, 4_172_000, cross_domain.cost(5))
 TARGETS = 48
 PROXIES = 30
 REQUESTS = 60
@@ -72,11 +72,11 @@
         made = balancers.Balancer(f"d{proxy % 4}", rng)
         for number in range(REQUESTS):
             now_ms = 10_000 + 150 * number
-            found = made.pick(holding, {}, now_ms=now_ms, hurry=HURRY)
-            made.started(found.key)
-            of = int(found.host[1:])
+            endpoint = made.pick(holding, {}, now_ms=now_ms, urgency=HURRY)
+            made.started(endpoint.key)
+            of = int(endpoint.host[1:])
             slow += is_slow(of)
-            made.answered(found.key, draw_us(rng, time_us(of)), 2, now_ms)
+            made.answered(endpoint.key, draw_us(rng, time_us(of)), 2, now_ms)
     return slow / (PROXIES * REQUESTS)
 
 
@@ -98,18 +98,18 @@
 
 
 def test_a_pace_is_told_once_enough_was_seen_and_when_it_changes() -> None:
-    pace = paces.Pace()
-    for _ in range(paces.LEAST_SEEN - 1):
-        pace.note(100_000)
-    assert not pace.is_news
-    pace.note(100_000)
-    assert pace.is_news
-    assert pace.tell() == 100_000
-    assert not pace.is_news
+    processing_time = processing_times.ProcessingTime()
+    for _ in range(processing_times.MIN_SAMPLES - 1):
+        processing_time.add(100_000)
+    assert not processing_time.should_report
+    processing_time.add(100_000)
+    assert processing_time.should_report
+    assert processing_time.report() == 100_000
+    assert not processing_time.should_report
     for _ in range(60):
-        pace.note(500_000)
-    assert pace.is_news
-    assert pace.tell() > 400_000
+        processing_time.add(500_000)
+    assert processing_time.should_report
+    assert processing_time.report() > 400_000
 
 
 def test_noise_is_not_told() -> None:
@@ -119,11 +119,11 @@
     tellings are its way to a mean.
     """
     rng = random.Random(1)
-    pace = paces.Pace()
+    processing_time = processing_times.ProcessingTime()
     told = 0
     for _ in range(36_000):
-        pace.note(draw_us(rng, FAST_US))
-        if pace.is_news:
+        processing_time.add(draw_us(rng, FAST_US))
+        if processing_time.should_report:
             told += 1
-            pace.tell()
+            processing_time.report()
     assert told <= 4
--- a/libs/requests/tests/test_warmup.py
+++ b/libs/requests/tests/test_warmup.py
@@ -36,10 +36,10 @@
     """A request that can't start in time is refused at once."""
     warmup = warmups.Warmup(limit())
     warmup.announce(LASTS_MS, 0)
-    gate = admission.Admission(SLOTS, warmup)
-    gate.offer(admission.Waiting(1, FAR_MS), 0)
-    gate.offer(admission.Waiting(2, FAR_MS), 0)
-    decision = gate.offer(admission.Waiting(3, 200, priority=1), 0)
+    gate = admission.AdmissionController(SLOTS, warmup)
+    gate.offer(admission.QueuedRequest(1, FAR_MS), 0)
+    gate.offer(admission.QueuedRequest(2, FAR_MS), 0)
+    decision = gate.offer(admission.QueuedRequest(3, 200, priority=1), 0)
     assert isinstance(decision, admission.Refused)
     assert 250 <= decision.retry_after_ms <= 350
 
@@ -55,7 +55,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = 0
-        self.gate = admission.Admission(SLOTS, warmups.Warmup(limit()))
+        self.gate = admission.AdmissionController(
+            SLOTS, warmups.Warmup(limit())
+        )
         self.number = 0
         self.cold: list[tuple[int, int]] = []
         self.starts: list[int] = []
@@ -69,7 +71,9 @@
         """Let requests come that may wait."""
         for _ in range(count):
             self.number += 1
-            waiting = admission.Waiting(self.number, self.now_ms + FAR_MS)
+            waiting = admission.QueuedRequest(
+                self.number, self.now_ms + FAR_MS
+            )
             decision = self.gate.offer(waiting, self.now_ms)
             self._take(isinstance(decision, admission.Admitted))
 
