--- a/libs/requests/src/trefoil_requests/admission.py
+++ b/libs/requests/src/trefoil_requests/admission.py
@@ -1,10 +1,10 @@
-"""Admission at a target's own proxy: free slots, then a short queue.
+"""Admission control on the proxy of a target: slots and a short queue.
 
-The load that this answers is a service short of slots for seconds: after a
-burst, a crash of targets, or with callers that try again at once. Served in
-order of arrival, every request then waits about as long as the queue is, and
-all of them are late. Served by what can still be in time, the same slots
-give as many answers, and most of them in time.
+A service can be short of slots for seconds: after a burst, after a crash of
+targets, or when callers retry at once. In order of arrival, every request
+would then wait for the whole queue, and all answers would be late. If
+requests that can still be answered in time go first, the same slots give as
+many answers, and most of them in time.
 """
 
 import dataclasses
@@ -12,36 +12,39 @@
 
 from . import warmup as warmups
 
-# Some ten requests: a target that slows down is noticed within a second.
+# Weight of one run in the moving means, which so follow the last ten runs or
+# so: a target that slows down is detected within a second.
 SAMPLE_WEIGHT = 0.1
-# Before anything ran nothing waits long enough to be refused for it.
+# Estimate before the first run, short enough that no request is refused for
+# its expected wait.
 INITIAL_SERVICE_MS = 5.0
-# A start counts as in time if the usual time and this many mean deviations
-# fit before the aim: work that spreads by 0.8 of its mean then ends in time
-# nine times in ten. By the mean alone a third of the slots would go to answers
-# that are late after all.
+# A request counts as in time if the mean run time and this many mean
+# deviations fit before its latency target. Work with a standard deviation of
+# 0.8 of its mean then ends in time nine times in ten. With the mean alone, a
+# third of the slots would go to answers that turn out late.
 SAFE_DEVIATIONS = 1.5
-# A queue of four times the slots is worked off in four service times; what
-# waits longer than that has mostly missed its aim.
+# A queue of four times the slots drains in four service times; most requests
+# that wait longer have missed their latency targets.
 QUEUE_PER_SLOT = 4
 MIN_RETRY_MS = 20
-# A request that waits is given up this long before its deadline: a beat of
-# this process and the way back. Told later, its entry proxy has given it up
-# by itself, and can't tell its caller any more that it did not run.
+# A queued request is refused this long before its deadline, which leaves time
+# for one tick of this process and for the reply to the entry proxy. If the
+# refusal came later, the entry proxy would already have timed the request out
+# and could not tell its caller that it did not run.
 REPLY_MS = 75
 
 
 @dataclasses.dataclass(slots=True)
 class QueuedRequest:
-    """A request in the queue.
+    """A request that is offered for a slot or waits for one.
 
     Args:
         request_id: Its id.
-        deadline_at_ms: When nobody waits for it any more.
-        aim_at_ms: When its answer is late for its route's aim; 0 for the
-            deadline.
-        priority: Its route's rank; 0 is the most urgent.
-        route: Its route.
+        deadline_at_ms: When its caller stops waiting.
+        due_at_ms: When its answer exceeds the latency target of its route; 0
+            stands for the deadline.
+        priority: Priority of its route; 0 is the most urgent.
+        route: Name of its route.
     """
 
     request_id: int
@@ -54,15 +57,16 @@
         self.due_at_ms = self.due_at_ms or self.deadline_at_ms
 
     def rank(self, ready_at_ms: float) -> tuple[bool, int, int]:
-        """Return its place in the queue, the least first.
+        """Return its sort key in the queue; the smallest goes first.
 
-        What can still meet its aim goes before what can't: a slot spent on
-        a late answer makes the next one late too. Of those in time the one
-        goes first whose aim is nearest, of those too late the one that came
-        last, since its caller is the likeliest to be there still.
+        Requests that can still meet their latency targets go before those
+        that cannot: a slot spent on a late answer makes the next one late
+        too. Among requests in time the nearest latency target goes first.
+        Among late requests the newest goes first, since its caller is the
+        most likely to still wait.
 
         Args:
-            ready_at_ms: When an answer would be ready that starts now.
+            ready_at_ms: When the answer would be ready if it started now.
         """
         late = ready_at_ms > self.due_at_ms
         tie_break_ms = -self.due_at_ms if late else self.due_at_ms
@@ -71,14 +75,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RunTime:
-    """How long requests of a route run on a target.
+    """Estimate of how long requests of a route run on a target.
 
-    Mean and mean deviation, both smoothed, as in Jacobson's "Congestion
-    Avoidance and Control" (1988).
+    Smoothed mean and mean deviation as in Jacobson's "Congestion Avoidance
+    and Control" (1988).
 
     Args:
-        mean_ms: Their usual time.
-        deviation_ms: How far from it they usually are.
+        mean_ms: Smoothed mean of the run times.
+        deviation_ms: Smoothed mean deviation from it.
     """
 
     mean_ms: float
@@ -86,16 +90,16 @@
 
     @classmethod
     def from_first_run(cls, took_ms: float) -> typing.Self:
-        """Return what to expect after one run: it says little of others."""
+        """Return an estimate from one run, with a wide deviation."""
         return cls(took_ms, took_ms / 2)
 
     @property
     def safe_ms(self) -> float:
-        """Return a time within which most of them are done."""
+        """Return a time within which most runs end."""
         return self.mean_ms + SAFE_DEVIATIONS * self.deviation_ms
 
     def add(self, took_ms: float) -> None:
-        """Take in how long one ran."""
+        """Add the run time of one request."""
         error_ms = took_ms - self.mean_ms
         self.mean_ms += SAMPLE_WEIGHT * error_ms
         self.deviation_ms += SAMPLE_WEIGHT * (
@@ -113,7 +117,8 @@
     """The request waits for a slot.
 
     Args:
-        evicted: A less urgent request that had to make room, 0 for none.
+        evicted: Id of a lower-ranked request that was evicted from the full
+            queue, 0 for none.
     """
 
     evicted: int = 0
@@ -121,17 +126,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Refused:
-    """The request did not run here: it can't make it, or should not wait."""
+    """The request did not run: it would be late or may not be queued."""
 
     retry_after_ms: int
 
 
 class AdmissionController:
-    """Slots of one target and the queue before them.
+    """Admits requests to the slots of one target and to its queue.
 
     Args:
-        slots: How many requests the target runs at once, as it announced.
-        warmup: What it may get while it is cold.
+        slots: Number of requests that the target runs at once, as announced.
+        warmup: Rate limit of the target while it is cold.
     """
 
     __slots__ = ("slots", "warmup", "running", "queue", "service_ms", "routes")
@@ -148,11 +153,11 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests run or wait."""
+        """Return the number of running and queued requests."""
         return self.running + len(self.queue)
 
     def wait_ms(self, now_ms: int) -> float:
-        """Return the expected wait of a request that comes last."""
+        """Return the expected wait at the end of the queue."""
         if self._may_start(now_ms):
             return 0.0
         return self._wait_behind(len(self.queue), now_ms)
@@ -162,7 +167,7 @@
         return self.running < self.slots and self.warmup.may_start(now_ms)
 
     def _starts_at_once(self, now_ms: int) -> bool:
-        """Tell whether a request that comes now starts at once."""
+        """Tell whether a new request starts at once."""
         return self._may_start(now_ms) and not self.queue
 
     def _wait_behind(self, count: int, now_ms: int) -> float:
@@ -170,7 +175,7 @@
         return max(slots_ms, self.warmup.wait_ms(count, now_ms))
 
     def run_time(self, route: str) -> RunTime:
-        """Return how long a route's requests run here."""
+        """Return the estimated run time of a route's requests."""
         return self.routes.get(route) or RunTime(self.service_ms)
 
     def _rank(
@@ -181,17 +186,17 @@
     def offer(
         self, waiting: QueuedRequest, now_ms: int, *, may_queue: bool = True
     ) -> Admitted | Queued | Refused:
-        """Decide on a request.
+        """Admit, queue or refuse a request.
 
-        One that would wait past its deadline is refused at once, so that
-        its caller can go elsewhere while there is time, and so that no slot
-        is spent on an answer that nobody waits for.
+        A request that would wait past its deadline is refused at once, so
+        that it can be sent to another target while there is time, and so
+        that no slot is spent on an answer whose caller has stopped waiting.
 
         Args:
             waiting: The request.
             now_ms: The time on the runtime's clock.
-            settled: Whether it may wait here; else it is refused when no
-                slot is free, to be tried at a target that may be freer.
+            may_queue: Whether it may wait here; otherwise it is refused when
+                no slot is free, to be tried on a less loaded target.
         """
         if self._starts_at_once(now_ms):
             self._start(now_ms)
@@ -211,13 +216,13 @@
         return Queued(evicted)
 
     def expected_wait_ms(self, waiting: QueuedRequest, now_ms: int) -> float:
-        """Return how long a request would wait for a slot from now on."""
+        """Return the expected wait of a request for a slot."""
         if self._starts_at_once(now_ms):
             return 0.0
         return self._wait_of(waiting, now_ms)
 
     def _wait_of(self, waiting: QueuedRequest, now_ms: int) -> float:
-        """Return how long a request waits behind those that go first."""
+        """Return the expected wait behind the requests that rank higher."""
         rank = self._rank(waiting, now_ms)
         ahead = sum(self._rank(w, now_ms) <= rank for w in self.queue)
         return self._wait_behind(ahead, now_ms)
@@ -227,7 +232,10 @@
         self.warmup.started(now_ms)
 
     def _evict_for(self, waiting: QueuedRequest, now_ms: int) -> int:
-        """Make room for a request; 0 if none ranks behind it."""
+        """Evict the lowest-ranked request and return its id.
+
+        Returns 0 if no queued request ranks below the new one.
+        """
         last = max(self.queue, key=lambda w: self._rank(w, now_ms))
         if self._rank(last, now_ms) <= self._rank(waiting, now_ms):
             return 0
@@ -235,12 +243,12 @@
         return last.request_id
 
     def finished(self, took_ms: float | None = None, route: str = "") -> None:
-        """Free a slot.
+        """Free the slot of a request.
 
         Args:
-            took_ms: How long the request ran, if that says what the route's
-                requests take.
-            route: Its route.
+            took_ms: How long it ran, if it ran to its end; None otherwise, so
+                that the estimates stay as they are.
+            route: Name of its route.
         """
         self.running = max(self.running - 1, 0)
         if took_ms is None:
@@ -255,7 +263,7 @@
             known.add(took_ms)
 
     def next_admitted(self, now_ms: int = 0) -> int | None:
-        """Return the queued request that may run now, if any."""
+        """Start the best-ranked queued request, if any may run; return it."""
         if not self.queue or not self._may_start(now_ms):
             return None
         chosen = min(self.queue, key=lambda w: self._rank(w, now_ms))
@@ -264,7 +272,7 @@
         return chosen.request_id
 
     def expired(self, now_ms: int) -> list[int]:
-        """Take out the queued requests that can no longer make it."""
+        """Remove and return the requests that would miss their deadlines."""
         late = [
             waiting.request_id
             for waiting in self.queue
@@ -276,7 +284,7 @@
         return late
 
     def withdraw(self, request_id: int) -> bool:
-        """Take a request out of the queue; return whether it was there."""
+        """Remove a request from the queue; return whether it was there."""
         for waiting in self.queue:
             if waiting.request_id == request_id:
                 self.queue.remove(waiting)
