--- a/libs/requests/src/trefoil_requests/bodies.py
+++ b/libs/requests/src/trefoil_requests/bodies.py
@@ -1,11 +1,12 @@
-"""Large bodies on their way to one host, piece by piece.
-
-The load that this answers: uploads of tens of kilobytes on the thin link of a
-host whose target also serves calls of some hundred bytes. Sent with their
-requests, a few bodies fill the link for a second, and the small calls of all
-other proxies wait behind them. So a body stays with its sender until its
-request has been taken, bodies come one after the other, and only a little of
-one is on its way at a time: that is what a small call waits behind.
+"""Flow control of large request bodies on the link of one host.
+
+Uploads of tens of kilobytes share the narrow link of a host with calls of some
+hundred bytes to the same target. If bodies were sent with their requests, a
+few of them would fill the link for a second, and the small calls of all other
+proxies would wait behind them. A body therefore stays with its sender until
+its request has been accepted. Bodies are transferred one after the other in
+chunks, and only a few chunks are in flight at a time, which bounds the wait
+of a small call.
 """
 
 import collections
@@ -14,52 +15,53 @@
 
 from trefoil_wire import messages
 
-# What is larger waits at its sender; smaller ones are sent as one packet or a
-# few, and asking for them would take as long.
+# Bodies from this size on wait at their senders. Smaller ones take one packet
+# or a few, and requesting them would take as long as sending them.
 LARGE_BYTES = 16 * 1024
-# A piece takes 12 ms on a link of 5.5 Mbit/s; two of them keep the link busy
-# while the next is asked for.
+# A chunk takes 12 ms on a link of 5.5 Mbit/s; two of them keep the link busy
+# while the next one is requested.
 CHUNK_BYTES = 8 * 1024
 CHUNKS_AHEAD = 2
-# Before a body came a link is taken for a fast one, 80 Mbit/s.
+# Assumed rate of a link before the first body: 80 Mbit/s.
 INITIAL_BYTES_PER_MS = 10_000.0
-# A link that other traffic fills is noticed after four bodies; a slow sender
-# among faster ones is not taken for one.
+# Other traffic on the link is detected after four bodies. A slow sender among
+# faster ones is an outlier and does not lower the rate.
 RATE_SAMPLES = 7
 OUTLIERS_PER_END = 2
-# Some ten bodies on a link of 5.5 Mbit/s.
+# Time for some ten bodies on a link of 5.5 Mbit/s.
 UTILIZATION_WINDOW_MS = 1000
 MIN_FREE_SHARE = 0.001
-# A sender that is cut off or stands still must not hold up the others.
+# A sender that is partitioned or suspended must not block the others.
 STALL_TIMEOUT_MS = 300
-# A sender that takes twice the time leaves half of the link unused.
+# A sender that takes this many times the expected time leaves half of the link
+# unused.
 SLOW_FACTOR = 2.0
 MIN_SLOW_MS = 30
-# A small call waits behind a piece of each, and one more.
+# A small call waits for one chunk of each active body and one more.
 MAX_ACTIVE_BODIES = 3
 
 
 def is_large(body: bytes) -> bool:
-    """Tell whether a body waits until it is asked for."""
+    """Tell whether a body is sent only on request."""
     return len(body) >= LARGE_BYTES
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class IncomingBody:
-    """A body on its way.
+    """A body that is received in chunks.
 
     Args:
-        request_id: Its request.
-        origin: Where it is asked for.
-        size: Its whole length in bytes.
-        due_ms: When it must be here for its answer to be in time.
-        data: What is here.
-        asked: How much was asked for.
-        had: How much was here when its turn came.
-        began_ms: When its turn came.
-        moved_ms: When something was asked for or came last.
-        slow: Whether it comes too slowly to fill the link.
-        stalled: Whether its sender went silent.
+        request_id: Id of its request.
+        origin: The sender, which its chunks are requested from.
+        size: Total length in bytes.
+        due_ms: When it must be complete for its answer to be in time.
+        data: The bytes received so far.
+        requested: Number of bytes requested so far.
+        start_bytes: Number of bytes received before its turn started.
+        turn_started_ms: When its turn started.
+        last_progress_ms: When its turn started or its last chunk came.
+        slow: Whether its sender is too slow to fill the link.
+        stalled: Whether its sender stopped sending.
     """
 
     request_id: int
@@ -76,11 +78,11 @@
 
     @property
     def remaining_bytes(self) -> int:
-        """Return how many bytes are still to come."""
+        """Return the number of bytes not yet received."""
         return self.size - len(self.data)
 
     def begin(self, now_ms: int) -> None:
-        """Begin its turn."""
+        """Start its turn on the link."""
         self.start_bytes = len(self.data)
         self.turn_started_ms = now_ms
         self.last_progress_ms = now_ms
@@ -89,30 +91,32 @@
     def rank(
         self, now_ms: int, bytes_per_ms: float
     ) -> tuple[bool, bool, float]:
-        """Return its turn, the least first.
+        """Return its sort key; the smallest is transferred first.
 
-        A body that comes too late for its answer to be in time would make
-        the next one late too.
+        Bodies too late for an answer in time come after the others, which
+        they would make late too.
         """
         return self.stalled, self.is_late(now_ms, bytes_per_ms), self.due_ms
 
     def is_late(self, now_ms: int, bytes_per_ms: float) -> bool:
-        """Tell whether it is late even if nothing comes before it."""
+        """Tell whether it would be late even if it were transferred now."""
         return now_ms + self.remaining_bytes / bytes_per_ms > self.due_ms
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class BodyEstimate:
-    """What becomes of a request whose body would be asked for now.
+    """Timing of a request if its body were requested now.
 
     Args:
-        body_ms: Until its body is here, after those that can be in time.
-        last_ms: The same, after all others that come meanwhile.
-        slot_ms: Until a slot is free for it.
-        run_ms: How long its run takes as a rule.
-        safe_run_ms: A time within which most such runs are done.
-        latency_target_ms: Time left until its answer is late.
-        deadline_ms: Time left until nobody waits for it.
+        body_ms: Time until its body is complete if it comes after the bodies
+            that can be in time.
+        last_ms: Time until its body is complete if it comes after all other
+            bodies, those that arrive meanwhile included.
+        slot_ms: Time until a slot is free for it.
+        run_ms: Mean run time of such requests.
+        safe_run_ms: Time within which most such requests end.
+        latency_target_ms: Time left until its latency target.
+        deadline_ms: Time left until its deadline.
     """
 
     body_ms: float
@@ -125,36 +129,36 @@
 
     @property
     def starts_at_once(self) -> bool:
-        """Tell whether a slot is free, and its answer in time as a rule."""
+        """Tell whether a slot is free and a mean run meets the target."""
         ends_ms = self.body_ms + self.run_ms
         return not self.slot_ms and ends_ms <= self.latency_target_ms
 
     @property
     def meets_latency_target(self) -> bool:
-        """Tell whether its answer is surely in time."""
+        """Tell whether most such requests would meet their target."""
         starts_ms = max(self.body_ms, self.slot_ms)
         return starts_ms + self.safe_run_ms <= self.latency_target_ms
 
     @property
     def meets_deadline(self) -> bool:
-        """Tell whether its caller gets an answer, if a late one."""
+        """Tell whether it is answered before its deadline, even if late."""
         starts_ms = max(self.last_ms, self.slot_ms)
         return starts_ms + self.run_ms <= self.deadline_ms
 
 
 @dataclasses.dataclass(slots=True)
 class ChunkRequest:
-    """Ask the sender of a body for a piece of it."""
+    """Request a chunk of a body from its sender."""
 
     origin: str
     pull: messages.BodyPull
 
 
 class LinkRate:
-    """How fast the last bodies came over a link.
+    """Transfer rate of the latest bodies on a link.
 
-    Counted from when the link was last without a body, or a body was whole:
-    bodies that come beside each other count together.
+    Each sample starts when the link was last idle or a body was completed, so
+    bodies that are transferred in parallel count together.
     """
 
     __slots__ = ("samples", "received_bytes", "since_ms")
@@ -167,14 +171,14 @@
         self.since_ms = 0
 
     def begin(self, now_ms: int) -> None:
-        """Count anew from now on."""
+        """Start a new sample."""
         self.received_bytes = 0
         self.since_ms = now_ms
 
     def finish_sample(self, now_ms: int) -> float:
-        """Learn from what came; return the bytes that come in a millisecond.
+        """Finish a sample; return the mean rate in bytes per millisecond.
 
-        The slowest and the fastest of them are left out.
+        The slowest and the fastest samples are left out.
         """
         self.samples.append(
             self.received_bytes / max(now_ms - self.since_ms, 1)
@@ -185,10 +189,10 @@
 
 
 class IncomingBodies:
-    """The bodies that one host waits for.
+    """The large bodies that one host receives.
 
-    The one that is due first has the link to itself. While its sender is too
-    slow to fill it, others come beside it.
+    The body that is due first is transferred alone. While its sender is too
+    slow to fill the link, others are transferred in parallel.
     """
 
     __slots__ = (
@@ -218,18 +222,26 @@
         due_ms: float,
         now_ms: int,
     ) -> list[ChunkRequest]:
-        """Have a body sent, after those that are due sooner."""
+        """Add a body; it is transferred after those that are due sooner.
+
+        Args:
+            request_id: Id of its request.
+            origin: The sender, which its chunks are requested from.
+            size: Total length in bytes.
+            due_ms: When it must be complete for its answer to be in time.
+            now_ms: The time on the runtime's clock.
+        """
         body = IncomingBody(request_id, origin, size, due_ms)
         self.waiting[request_id] = body
         self._request_chunks(now_ms)
         return self._flush()
 
     def expected_ms(self, now_ms: int, size: int = 0) -> int:
-        """Return when a body is expected to be here that is asked for now.
+        """Return the expected time until a body requested now is complete.
 
         Args:
             now_ms: The time on the runtime's clock.
-            size: Its length; 0 for the wait before its turn.
+            size: Its length in bytes; 0 gives the wait before its turn.
         """
         ahead = sum(
             body.remaining_bytes
@@ -239,10 +251,10 @@
         return int((ahead + size) / self.bytes_per_ms)
 
     def expected_last_ms(self, size: int = 0) -> int:
-        """Return when a body is expected to be here that comes after all.
+        """Return the expected time until a body after all others is complete.
 
-        Bodies that come meanwhile and can be in time go before it; it gets
-        what they leave of the link (Cobham, "Priority Assignment in Waiting
+        Bodies that arrive meanwhile and can be in time go before it, so it
+        gets only the rest of the link (Cobham, "Priority Assignment in Waiting
         Line Problems", 1954).
         """
         ahead = sum(body.remaining_bytes for body in self.waiting.values())
@@ -250,28 +262,28 @@
         return int((ahead + size) / self.bytes_per_ms / free_share)
 
     def waits_for(self, request_id: int) -> bool:
-        """Tell whether a request's body is still on its way."""
+        """Tell whether the body of a request is still incomplete."""
         return request_id in self.waiting
 
     def is_busy(self, now_ms: int) -> bool:
-        """Tell whether the link is taken by bodies that can be in time."""
+        """Tell whether bodies that can be in time use the link."""
         return any(
             not self._is_late(body, now_ms) for body in self.waiting.values()
         )
 
     def is_deferred(self, request_id: int, now_ms: int) -> bool:
-        """Tell whether a body is late, and others go before it."""
+        """Tell whether a body is late and waits behind all others."""
         body = self.waiting[request_id]
         return body not in self.active and self._is_late(body, now_ms)
 
     def receive(
         self, chunk: messages.BodyPiece, now_ms: int
     ) -> tuple[bytes | None, list[ChunkRequest]]:
-        """Take a piece.
+        """Receive a chunk; a chunk that is not the next one is dropped.
 
         Returns:
-            The whole body with its last piece, else None, and what is asked
-            for next. A piece that is not the next one is dropped.
+            The complete body after its last chunk, otherwise None, and the
+            next chunks to request.
         """
         body = self.waiting.get(chunk.request_id)
         if body is None or chunk.offset != len(body.data):
@@ -290,13 +302,13 @@
         return complete, self._flush()
 
     def remove(self, request_id: int, now_ms: int) -> list[ChunkRequest]:
-        """Forget a body that nobody needs any more."""
+        """Remove a body that is no longer needed."""
         self._remove(request_id)
         self._request_chunks(now_ms)
         return self._flush()
 
     def tick(self, now_ms: int) -> list[ChunkRequest]:
-        """Let the next body come if the present ones are slow or stall."""
+        """Start the next body if the active ones are slow or stalled."""
         self._update_utilization(now_ms)
         for body in list(self.active):
             body.slow = body.slow or self._is_slow(body, now_ms)
@@ -308,7 +320,7 @@
         return self._flush()
 
     def _update_utilization(self, now_ms: int) -> None:
-        """Learn which part of the time bodies in time take the link."""
+        """Update the share of time in which bodies in time use the link."""
         weight = min(
             (now_ms - self.utilization_updated_ms) / UTILIZATION_WINDOW_MS, 1.0
         )
@@ -316,7 +328,7 @@
         self.utilization += weight * (self.is_busy(now_ms) - self.utilization)
 
     def _is_slow(self, body: IncomingBody, now_ms: int) -> bool:
-        """Tell whether it comes more slowly than the link carries."""
+        """Tell whether its sender is slower than the link."""
         received_bytes = len(body.data) - body.start_bytes
         expected_ms = (received_bytes + CHUNK_BYTES) / self.bytes_per_ms
         slow_ms = max(SLOW_FACTOR * expected_ms, MIN_SLOW_MS)
@@ -328,7 +340,7 @@
             self.active.remove(body)
 
     def _request_chunks(self, now_ms: int) -> None:
-        """Ask for as much as may be on its way."""
+        """Start bodies and request the chunks that may be in flight."""
         if not self.active:
             self.link_rate.begin(now_ms)
         while body := self._next_body(now_ms):
@@ -338,7 +350,7 @@
             self._request_ahead(body)
 
     def _next_body(self, now_ms: int) -> IncomingBody | None:
-        """Return a body that may begin to come, beside those that do."""
+        """Return a body that may start beside the active ones."""
         is_link_filled = any(not body.slow for body in self.active)
         if is_link_filled or len(self.active) >= MAX_ACTIVE_BODIES:
             return None
@@ -354,7 +366,7 @@
         )
 
     def _request_ahead(self, body: IncomingBody) -> None:
-        # What a stalled sender was asked for may have come after all.
+        # Chunks requested from a stalled sender may still have arrived.
         body.requested = max(body.requested, len(body.data))
         ahead = 1 if body.slow else CHUNKS_AHEAD
         bound = len(body.data) + ahead * CHUNK_BYTES
