--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -1,11 +1,11 @@
-"""The ledger that lets a once-only request with a key run at most once.
-
-Each key has up to three keepers: the best by rendezvous hash among the hosts
-of the service, those that went away lately included. A request runs only
-once a majority of its keepers granted the claim, so two proxies can't both
-get it. A keeper that may have forgotten the key, because it restarted or
-because the key was another's, abstains; a claim without a majority is
-refused with the truth: it is not known whether the key ran before.
+"""Replicated ledger of idempotency keys: a once-only request runs once.
+
+Each key has up to three replicas: the first by rendezvous hash among the hosts
+of the service, including those that left recently. A request runs only after
+a majority of its replicas granted the claim, so two proxies cannot both run
+it. A replica that may have lost the key, because it restarted or because the
+key belonged to another replica, abstains. A claim without a majority is
+refused, and the answer says that it is unknown whether the key ran before.
 """
 
 import collections
@@ -23,10 +23,10 @@
 RETENTION_MS = 600_000
 MAX_CLOCK_SKEW_MS = 5000
 SYNC_INTERVAL_MS = 500
-# Hosts that restarted themselves can't vouch for minutes; asking them goes on
-# ever less often.
+# Hosts that restarted themselves cannot confirm keys for minutes, so the
+# interval between requests to them grows up to this bound.
 MAX_SYNC_INTERVAL_MS = 30_000
-# Asked first, to learn whether callers send keys at all.
+# Number of hosts asked first, to find out whether callers send keys at all.
 SAMPLE_HOSTS = 3
 MAX_ENTRIES = 100_000
 MAX_ANSWER_BYTES = 8192
@@ -39,18 +39,21 @@
 
 
 def key_of(service: str, key: str) -> int:
-    """Return the number under which keepers know a key."""
+    """Return the hash under which replicas store a key."""
     return hashing.hash64(f"{service}\0{key}".encode())
 
 
 def issued_ms_of(key: str) -> int:
-    """Return the time in a key such as ``1764720000000-x81``, else 0."""
+    """Return the time in a key such as ``1764720000000-x81``, or 0.
+
+    The time is in milliseconds since the Unix epoch.
+    """
     match = TIMED_KEY.match(key)
     return int(match.group(1)) if match else 0
 
 
 class ReplicaSets:
-    """The hosts of each service, with those that left lately."""
+    """The hosts of each service, including those that left recently."""
 
     __slots__ = ("hosts", "departed_until_ms")
 
@@ -61,7 +64,7 @@
     def update(
         self, hosts_of: typing.Mapping[str, list[str]], now_ms: int
     ) -> None:
-        """Take in which hosts have targets of which service."""
+        """Set the hosts that have targets of each service."""
         for service in set(self.hosts) | set(hosts_of):
             new = set(hosts_of.get(service, ()))
             for host in self.hosts.get(service, set()) - new:
@@ -71,7 +74,7 @@
             self.hosts[service] = new
 
     def keepers(self, service: str, key: int, now_ms: int) -> list[str]:
-        """Return a key's keepers, best first."""
+        """Return the replicas of a key, in rendezvous order."""
         departed = {
             host
             for (name, host), until_ms in self.departed_until_ms.items()
@@ -83,7 +86,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimRecord:
-    """One claimed key."""
+    """One claimed key.
+
+    Args:
+        claim_id: The claim that was granted.
+        fingerprint: Fingerprint of its request.
+        at_ms: When it was granted, on the runtime's clock.
+        answer: The answer for resends, once it is known.
+    """
 
     claim_id: int
     fingerprint: int
@@ -92,13 +102,13 @@
 
 
 class Ledger:
-    """The keys that this host keeps.
+    """The keys that this host stores as a replica.
 
     Args:
         me: Name of this host.
-        incarnation: This process's life.
-        now_ms: Its start on the runtime's clock.
-        wall_ms: Its start on the wall clock.
+        incarnation: Number of this process's start.
+        now_ms: Start of this process on the runtime's clock.
+        wall_ms: Start of this process on the wall clock.
     """
 
     __slots__ = (
@@ -137,17 +147,17 @@
         self.answer_bytes = 0
 
     def can_confirm(self, issued_ms: int, now_ms: int) -> bool:
-        """Tell whether a key unknown here was certainly never granted here.
+        """Tell whether a key with no record was certainly never granted.
 
-        True after a whole keeping time, after a sync with every other
-        keeper, or for a key issued after this process started.
+        True after a full retention period, after a sync with all other
+        hosts, or for a key issued after this process started.
         """
         if self.synced or now_ms >= self.started_ms + RETENTION_MS:
             return True
         return issued_ms > self.started_wall_ms + MAX_CLOCK_SKEW_MS
 
     def claim(self, claim: messages.Claim, now_ms: int) -> messages.ClaimReply:
-        """Grant a key, or say that it is taken or can't be known."""
+        """Grant a claim, report its key as taken, or abstain."""
         record = self.records.get(claim.key)
         if record is not None and now_ms - record.at_ms < RETENTION_MS:
             if record.claim_id == claim.claim_id:
@@ -155,14 +165,14 @@
             return self._reply(claim, TAKEN, self._answer_for(record, claim))
         own_set = self.sets.keepers(claim.service_name, claim.key, now_ms)
         same_view = sorted(own_set) == sorted(claim.keepers or ())
-        # A claimant with another view of the hosts could gather its
-        # majority from other keepers than the claimant before it.
+        # A claimant with another view of the hosts could get its majority
+        # from other replicas than the claimant before it.
         if not same_view or not self.can_confirm(claim.issued_ms, now_ms):
             self._note_keys_in_use()
             return self._reply(claim, ABSTAIN)
         self._drop_expired(now_ms)
         if len(self.records) >= MAX_ENTRIES:
-            # Dropping a live key would let its resend run again.
+            # Removing a live key would let its resend run again.
             return self._reply(claim, ABSTAIN)
         self.records[claim.key] = ClaimRecord(
             claim.claim_id, claim.fingerprint, now_ms
@@ -170,7 +180,7 @@
         return self._reply(claim, GRANTED)
 
     def done(self, done: messages.ClaimDone) -> None:
-        """Keep the answer of a claim, to give it to resends."""
+        """Store the answer of a claim for resends of its request."""
         record = self.records.get(done.key)
         if record is not None and record.claim_id == done.claim_id:
             record.answer = done.answer
@@ -181,7 +191,8 @@
     def _drop_answers(self) -> None:
         """Drop the oldest answers, not their keys, to bound the memory.
 
-        A resend of such a key is told that it ran, without the answer.
+        A resend with such a key is answered as already run, without the
+        answer itself.
         """
         while self.answer_bytes > MAX_TOTAL_ANSWER_BYTES:
             key, size = self.answers.popleft()
@@ -190,19 +201,19 @@
                 self.records[key].answer = None
 
     def release(self, release: messages.ClaimRelease) -> None:
-        """Drop a claim whose request certainly did not run."""
+        """Remove a claim whose request certainly did not run."""
         record = self.records.get(release.key)
         if record is not None and record.claim_id == release.claim_id:
             del self.records[release.key]
 
-    # Coming back after a restart
+    # Recovery after a restart
 
     def tick(self, now_ms: int, ready: bool) -> list[str]:
         """Return the hosts to pull the ledger from now.
 
-        A few are asked after each start; all of them only once keys are seen
-        to be in use. Else each host of a fleet would ask each other one for
-        as long as none has lived long enough to vouch.
+        After a start only a few hosts are asked, and all of them once keys
+        are known to be in use. Otherwise each host of a fleet would ask every
+        other one until some host has run long enough to confirm keys.
         """
         if self.synced or not ready or now_ms < self.sync_at_ms:
             return []
@@ -218,7 +229,7 @@
         return sorted(asked)
 
     def _note_keys_in_use(self) -> None:
-        """Note that callers send keys, so that all keepers matter."""
+        """Record that callers send keys, so that all hosts are asked."""
         if not self.keys_in_use:
             self.keys_in_use = True
             self.sync_at_ms = 0
@@ -234,7 +245,7 @@
     def pull(
         self, pull: messages.LedgerPull, now_ms: int
     ) -> messages.LedgerPush:
-        """Return what another keeper lost."""
+        """Return the live records for a replica that restarted."""
         entries = [
             messages.LedgerEntry(
                 key=key,
@@ -250,7 +261,7 @@
         return messages.LedgerPush(self.me, entries, complete)
 
     def push(self, push: messages.LedgerPush, now_ms: int) -> None:
-        """Take back what another keeper held."""
+        """Restore records that another host holds."""
         if push.entries:
             self._note_keys_in_use()
         self.unanswered.discard(push.host)
@@ -264,7 +275,8 @@
                 )
         if push.complete and self.sync_pending is not None:
             self.sync_pending.discard(push.host)
-            # With nobody else to ask there is no proof, only silence.
+            # A host that has no other to ask is never synced: no other host
+            # can confirm its records.
             self.synced = not self.sync_pending
 
     def _reply(
@@ -283,7 +295,7 @@
         return record.answer
 
     def _drop_expired(self, now_ms: int) -> None:
-        """Drop what is past its keeping time; never a live key."""
+        """Drop the records past their retention period, never a live key."""
         while self.records:
             key, record = next(iter(self.records.items()))
             if now_ms - record.at_ms < RETENTION_MS:
@@ -293,7 +305,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Pending:
-    """A claim that waits for its keepers."""
+    """A claim that waits for the replies of its replicas."""
 
     call_id: int
     claim: messages.Claim
@@ -304,14 +316,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimGranted:
-    """The call may run, once."""
+    """The claim was granted: the call may run, once."""
 
     call_id: int
 
 
 @dataclasses.dataclass(slots=True)
 class KeyUsed:
-    """The key was used before; its answer, if it is kept."""
+    """The key was used before; carries its answer, if it is stored."""
 
     call_id: int
     answer: messages.Answer | None
@@ -319,7 +331,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ClaimUndecided:
-    """It can't be known whether the key was used before."""
+    """It is unknown whether the key was used before."""
 
     call_id: int
 
@@ -338,7 +350,7 @@
     def begin(
         self, call_id: int, claim: messages.Claim, now_ms: int
     ) -> list[typing.Any]:
-        """Ask the keepers of a key."""
+        """Send a claim to its replicas."""
         self.pending[claim.claim_id] = Pending(
             call_id, claim, now_ms + CLAIM_TIMEOUT_MS
         )
@@ -348,7 +360,7 @@
         return [effects.Tell(host, "", claim) for host in claim.keepers]
 
     def receive_reply(self, reply: messages.ClaimReply) -> list[typing.Any]:
-        """Take a keeper's reply."""
+        """Process the reply of a replica."""
         pending = self.pending.get(reply.claim_id)
         if pending is None or reply.host not in pending.claim.keepers:
             return []
@@ -368,7 +380,7 @@
         return []
 
     def tick(self, now_ms: int) -> list[typing.Any]:
-        """Give up claims whose keepers don't answer."""
+        """End the claims whose replicas did not reply in time."""
         out: list[typing.Any] = []
         for pending in list(self.pending.values()):
             if now_ms >= pending.deadline_at_ms:
@@ -376,7 +388,7 @@
         return out
 
     def drop(self, call_id: int) -> list[typing.Any]:
-        """Take back the claim of a call that is over."""
+        """Release the claim of a call that has ended."""
         for pending in list(self.pending.values()):
             if pending.call_id == call_id:
                 del self.pending[pending.claim.claim_id]
@@ -392,7 +404,7 @@
 
 
 def release(claim: messages.Claim) -> list[typing.Any]:
-    """Return the messages that give a claim back."""
+    """Return the messages that release a claim at its replicas."""
     message = messages.ClaimRelease(claim.key, claim.claim_id)
     return [effects.Tell(host, "", message) for host in claim.keepers]
 
@@ -400,7 +412,7 @@
 def store_answer(
     claim: messages.Claim, answer: messages.Answer
 ) -> list[typing.Any]:
-    """Return the messages that leave an answer with the keepers."""
+    """Return the messages that store an answer at the replicas."""
     body = answer.body or b""
     stored = answer if len(body) <= MAX_ANSWER_BYTES else None
     if stored is None:
