--- a/libs/requests/src/trefoil_requests/accounting.py
+++ b/libs/requests/src/trefoil_requests/accounting.py
@@ -1,4 +1,4 @@
-"""The retry budgets of one entry proxy, and what its calls took of them."""
+"""Retry budgets of one entry proxy, one for each service."""
 
 import collections.abc
 
@@ -9,12 +9,12 @@
 
 
 class RetryBudgets:
-    """One budget for each service, and who has to pay or is paid back.
+    """The retry budgets of all services, charged and refunded per attempt.
 
     Args:
-        most_ratio: Most repeats for each request, whatever a service's
-            configuration says.
-        reserve: This proxy's part of the repeats beyond the ratio.
+        max_ratio: Upper bound of repeats for each request, applied to the
+            ratio in each service's configuration.
+        reserve: This proxy's share of the repeats beyond the ratio.
     """
 
     __slots__ = ("budgets", "max_ratio", "reserve")
@@ -29,7 +29,10 @@
     def put_in_force(
         self, services: collections.abc.Mapping[str, messages.Service]
     ) -> None:
-        """Keep a budget for each service of a new configuration."""
+        """Apply a configuration: one budget for each of its services.
+
+        Services that were configured before keep their budgets.
+        """
         self.budgets = {
             name: self.budgets.get(name) or self._budget_of(service)
             for name, service in services.items()
@@ -40,10 +43,11 @@
         return budget.RetryBudget(ratio, self.reserve)
 
     def share_slack(self, reserve: float) -> None:
-        """Take this proxy's part of the repeats beyond the ratios.
+        """Set this proxy's share of the repeats beyond the ratios.
 
-        All proxies together must keep to one slack for each service. Their
-        parts are equal, so that the sum holds while some are cut off.
+        All proxies together must stay within one slack for each service.
+        Their shares are equal, so that the sum also holds while some proxies
+        are partitioned from the others.
         """
         self.reserve = reserve
         for service_budget in self.budgets.values():
@@ -52,41 +56,43 @@
     def has_budget(self, service: str) -> bool:
         """Tell whether a service has a budget.
 
-        It has none once it left the configuration, though its requests run.
+        A service that was removed from the configuration has none, although
+        some of its requests may still run.
         """
         return service in self.budgets
 
     def left(self, service: str) -> float:
-        """Return how many repeats a service has left."""
+        """Return how many repeats the budget of a service allows now."""
         return self.budgets[service].tokens
 
     def deposit(self, live: lives.Live) -> None:
-        """Earn a request's part of a repeat, and pay if it is one itself."""
+        """Credit the budget for a request, or charge it if it is a repeat."""
         self.budgets[live.service].deposit(live.repeat)
 
     def withdraw(self, service: str, cause: budget.Cause) -> bool:
-        """Pay for a repeat; return whether there was enough."""
+        """Charge the budget for a repeat; return whether it sufficed."""
         service_budget = self.budgets.get(service)
         return service_budget is not None and service_budget.withdraw(cause)
 
     def give_back(self, live: lives.Live) -> None:
-        """Take back what was paid for a repeat that found no target."""
+        """Refund the charge for a repeat for which there was no target."""
         service_budget = self.budgets.get(live.service)
         if live.paid and service_budget is not None:
             live.paid = False
             service_budget.give_back()
 
     def arrived(self, service: str) -> None:
-        """Note that a repeat has reached its target, or never will."""
+        """Record that a repeat reached its target, or that it never will."""
         service_budget = self.budgets.get(service)
         if service_budget is not None:
             service_budget.arrived()
 
     def end(self, live: lives.Live) -> None:
-        """Note that an attempt has ended, if it was a repeat.
+        """Record the end of an attempt, if it was charged as a repeat.
 
-        Of two attempts the one that arrives last is the repeat, whichever
-        was paid for. The other may still be on its way.
+        Of two parallel attempts, the one that arrives last counts as the
+        repeat, whichever was charged. If the other one is still in flight,
+        the charge passes to it.
         """
         paid = live.paid
         live.paid = False
