--- a/libs/requests/src/trefoil_requests/cross_domain.py
+++ b/libs/requests/src/trefoil_requests/cross_domain.py
@@ -1,42 +1,46 @@
-"""Whether a call is worth sending to another failure domain.
-
-The load that this answers: failure domains whose targets differ in speed and
-whose callers differ in number, on any day. Led to whichever target ends
-first, most large bodies cross between failure domains for a few milliseconds
-that their callers do not notice, and that traffic is paid for by the byte.
-Here a call crosses where that gains its caller enough: the chance of an
-answer in time there, less the chance near, against what its bytes cost.
+"""Cost and benefit of sending a call to another failure domain.
+
+Failure domains differ in the speed of their targets and in the number of
+their callers. If each call went to the target that is expected to answer
+first, most large bodies would cross between failure domains to save a few
+milliseconds that callers do not notice, and that traffic is billed by the
+byte. A call is therefore sent to another domain only where the gain is large
+enough: the probability of an answer in time there, less the probability in
+its own domain, must outweigh the cost of its bytes.
 """
 
 import math
 
-# What a KiB between failure domains costs, as a part of what an answer in
-# time is worth.
+# Cost of one KiB between failure domains, as a fraction of the value of an
+# answer in time.
 COST_PER_KIB = 0.03
-# Bytes never cost a caller more than an even chance of an answer in time.
+# Bounds the cost of bytes by an even chance (0.5) of an answer in time.
 MAX_COST = 0.5
-# A late answer is worth this part of one in time.
+# Value of a late answer, as a fraction of the value of one in time.
 LATE_ANSWER_VALUE = 0.2
-# Log-logistic times with this shape are within twice their median five times
-# in six: work that spreads by 0.8 of its mean, behind a queue that is guessed.
+# With this shape, five log-logistic times in six are below twice the median.
+# That fits work with a standard deviation of 0.8 of its mean behind a queue of
+# estimated length.
 LOG_LOGISTIC_SHAPE = 2.5
 
 
 def cost(kib: float) -> float:
-    """Return what it costs to send a call far, in answers in time.
+    """Return the cost of sending a call to another failure domain.
+
+    The unit is the value of one answer in time; at most ``MAX_COST``.
 
     Args:
-        kib: What the call carries, both ways.
+        kib: Size of the call's request and response together, in KiB.
     """
     return min(kib * COST_PER_KIB, MAX_COST)
 
 
 def late_probability(expected_us: float, limit_us: float) -> float:
-    """Return the chance that an answer does not come within a time.
+    """Return the probability that an answer takes longer than a limit.
 
     Args:
-        expected_us: When it is expected.
-        within_us: The time.
+        expected_us: Expected time until the answer.
+        limit_us: Time limit; the probability is 1 if it is not positive.
     """
     if limit_us <= 0:
         return 1.0
@@ -45,13 +49,14 @@
 
 
 class Urgency:
-    """How long a call can wait, and what its bytes cost between domains.
+    """Time limits of a call and the cost of sending it to another domain.
 
     Args:
-        aim_us: Time left until its answer is late.
-        deadline_us: Time left until nobody waits for it.
-        far_cost: What it costs to send it to another failure domain, as a
-            part of what an answer in time is worth.
+        latency_target_us: Time left until its latency target.
+        deadline_us: Time left until its deadline, when its caller stops
+            waiting.
+        far_cost: Cost of sending it to another failure domain, as a fraction
+            of the value of an answer in time.
     """
 
     __slots__ = ("latency_target_us", "deadline_us", "far_cost")
@@ -67,11 +72,11 @@
         self.far_cost = far_cost
 
     def loss(self, expected_us: float, *, far: bool) -> float:
-        """Return what is lost of an answer's worth, bytes included.
+        """Return the expected loss of an answer's value, with byte costs.
 
         Args:
-            expected_us: When the answer is expected.
-            far: Whether it comes from another failure domain.
+            expected_us: Expected time until the answer.
+            far: Whether the target is in another failure domain.
         """
         late = late_probability(expected_us, self.latency_target_us)
         unanswered = late_probability(expected_us, self.deadline_us)
