--- a/libs/requests/src/trefoil_requests/original_deadline.py
+++ b/libs/requests/src/trefoil_requests/original_deadline.py
@@ -1,31 +1,34 @@
-"""How long callers have waited already, by the deadlines they give.
+"""Estimates how long callers have already waited from their deadlines.
 
-A caller whose request was refused comes back and gives as its deadline what
-is left of its patience. Taken for a new one it would get a full latency aim
-again and a slot before callers that can still be answered in time, although
-its own answer is late whatever happens.
+A caller whose request was refused retries with the rest of its wait limit as
+the new deadline. If the retry were treated as a new request, it would get a
+full latency target again. It would then take a slot before requests that can
+still be answered in time, although its own answer is late in any case.
 """
 
 import collections
 import collections.abc
 
-# Enough to find a value that a quarter of the callers give, few enough to
-# follow a change of the callers within seconds.
+# Enough requests to find a deadline that a quarter of the callers send, few
+# enough to follow a change of the callers within seconds.
 WINDOW_REQUESTS = 64
 MIN_SAMPLES = 8
-# With two returns for each refusal a third of the requests are still first
-# ones; the greatest fifth of the deadlines then are those of first ones. A
-# few callers that are more patient than the rest do not reach so far.
+# If each caller retries twice, a third of the requests are still first
+# attempts, and the largest fifth of the deadlines belongs to first attempts.
+# A few callers with longer deadlines than the rest stay above this quantile.
 ORIGINAL_QUANTILE = 0.8
-# First requests of a route give the same deadline but for rounding. Where no
-# deadline is common, as in calls that inherit what their parent has left,
-# nothing is concluded.
+# First attempts on a route have the same deadline, up to rounding. Where no
+# deadline is common, as with calls that inherit the remaining time of their
+# parent, no wait is inferred.
 TOLERANCE_MS = 5
 MIN_COMMON_SHARE = 0.2
 
 
 class OriginalDeadlines:
-    """Learns each route's usual deadline from its callers."""
+    """Learns the deadline of first attempts on each route.
+
+    ``deadlines`` holds the latest deadlines of each route, in milliseconds.
+    """
 
     __slots__ = ("deadlines",)
 
@@ -33,11 +36,11 @@
         self.deadlines: dict[str, collections.deque[int]] = {}
 
     def waited_ms(self, route: str, deadline_ms: int) -> int:
-        """Note a caller's deadline; return how long it has waited before.
+        """Record a deadline; return how long its caller has waited so far.
 
         Args:
-            route: The route it asks for.
-            deadline_ms: How long it will still wait; 0 if it does not say.
+            route: Name of the requested route.
+            deadline_ms: Time until the caller's deadline; 0 if it sent none.
         """
         if not deadline_ms:
             return 0
@@ -50,13 +53,13 @@
         return max(_original_ms(recent) - deadline_ms, 0)
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
-        """Forget the routes that are gone."""
+        """Remove the routes that are no longer configured."""
         for route in [r for r in self.deadlines if r not in routes]:
             del self.deadlines[route]
 
 
 def _original_ms(recent: collections.deque[int]) -> int:
-    """Return the deadline of first requests, 0 if none is common."""
+    """Return the deadline of first attempts, 0 if none is common."""
     if len(recent) < MIN_SAMPLES:
         return 0
     original_ms = sorted(recent)[int(len(recent) * ORIGINAL_QUANTILE)]
