--- a/libs/requests/src/trefoil_requests/silent_connections.py
+++ b/libs/requests/src/trefoil_requests/silent_connections.py
@@ -1,4 +1,7 @@
-"""Finding the connection that went silent while fresh ones work."""
+"""Detection of connections that stopped delivering answers.
+
+New connections to the same target may work meanwhile.
+"""
 
 import collections
 
@@ -8,13 +11,14 @@
 
 
 class SilentConnectionDetector:
-    """Watches the requests that wait on one target's connections.
+    """Tracks the requests that wait on the connections to one target.
 
-    Something between the two ends may lose track of a connection: nothing
-    comes back on it and no error is told, while new connections work. A
-    request is taken for lost to such a silence when it has waited far longer
-    than others take and enough requests sent after it were answered. A slow
-    target overtakes nothing by much, so it is not mistaken for one.
+    A device between the two ends may lose its state of a connection: no data
+    arrives on it and no error is reported, while new connections work. The
+    connection of a request is considered silent when the request has waited
+    far longer than others take and enough requests sent after it were
+    answered. On a slow target few later requests are answered first, so it is
+    not mistaken for a silent connection.
     """
 
     __slots__ = ("sent", "overtaken_by", "recent_ms")
@@ -27,12 +31,12 @@
         self.recent_ms: collections.deque[int] = collections.deque(maxlen=64)
 
     def sent_at(self, request_id: int, now_ms: int) -> None:
-        """Note a request put on a connection."""
+        """Record that a request was sent on a connection."""
         self.sent[request_id] = now_ms
         self.overtaken_by[request_id] = 0
 
     def answered(self, request_id: int, now_ms: int) -> None:
-        """Note an answer: it overtook everything sent before it."""
+        """Record an answer, which overtook all requests sent before it."""
         sent_ms = self.sent.pop(request_id, None)
         self.overtaken_by.pop(request_id, None)
         if sent_ms is None:
@@ -44,12 +48,12 @@
             self.overtaken_by[other] += 1
 
     def dropped(self, request_id: int) -> None:
-        """Note a request that no longer waits."""
+        """Remove a request that no longer waits for an answer."""
         self.sent.pop(request_id, None)
         self.overtaken_by.pop(request_id, None)
 
     def silent(self, now_ms: int) -> list[int]:
-        """Return the requests whose connections are taken for silent."""
+        """Return the ids of requests whose connections are silent."""
         if not self.recent_ms:
             return []
         threshold_ms = max(SLOW_FACTOR * max(self.recent_ms), MIN_AGE_MS)
