--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -1,7 +1,7 @@
-"""The core before the targets of one host: slots, drains, crashes.
+"""Request core for the targets of one host: slots, drains and crashes.
 
-This proxy alone opens connections to its targets, so it knows the slots in
-use exactly, and its refusal means that the request truly did not run.
+Only this proxy opens connections to its targets. It therefore knows exactly
+which slots are in use, and a refused request certainly did not run.
 """
 
 import collections
@@ -23,23 +23,34 @@
 from . import quarantine as quarantines
 from . import warmup as warmups
 
-# The origin of what this host's own proxy forwards.
+# Origin of requests that the proxy of this host forwards to itself.
 LOCAL = "local"
 CRASH_WINDOW_MS = 50
 RECENT_REQUESTS = 4096
 DEFAULT_RETRY_MS = 100
 MIN_RETRY_MS = 20
-# A request that is surely a repeat, since its entry proxy sent it before.
+# ``repeat_permille`` of a request that its entry proxy sent before and that is
+# therefore certainly a repeat.
 CERTAIN_PERMILLE = 1000
 NOT_RUN_HEADER = b"x-trefoil-not-run"
 EVACUATED = "the failure domain is evacuated"
-# A target at a reused address that is not the one named answers this.
+# Status of an answer from another target that now uses the same address.
 MISDIRECTED = 421
 
 
 @dataclasses.dataclass(slots=True)
 class LocalTarget:
-    """A target of this host."""
+    """A target of this host.
+
+    Args:
+        record: Its latest announcement.
+        port: Port on which it takes requests.
+        slots: Admission control of its slots.
+        draining: Whether it gets no new requests.
+        advertised_cold: Whether other proxies were last told that it is cold.
+        processing_time: Mean run time of its requests.
+        occupancy: Load since its last log line.
+    """
 
     record: messages.TargetRecord
     port: int
@@ -55,13 +66,13 @@
         self.occupancy = occupancies.Occupancy(self.record.name)
 
     def is_cold(self, now_ms: int) -> bool:
-        """Tell whether it is slow since it started, or may be."""
+        """Tell whether it is, or may be, slow because it just started."""
         if self.slots.warmup.is_cold(now_ms):
             return True
         return self.record.state == messages.TargetState.COLD
 
     def advertised_record(self, now_ms: int) -> messages.TargetRecord:
-        """Return its record as other proxies learn it."""
+        """Return its record as sent to other proxies."""
         advertised = copy.copy(self.record)
         advertised.usual_us = self.processing_time.report()
         self.advertised_cold = self.is_cold(now_ms)
@@ -77,7 +88,17 @@
 
 @dataclasses.dataclass(slots=True)
 class TrackedRequest:
-    """A request that is queued at or running on a local target."""
+    """A request that is queued at or running on a local target.
+
+    Args:
+        origin: The proxy that gets the reply.
+        request: The request.
+        target: Name of its target.
+        received_ms: When it was received.
+        deadline_at_ms: When its caller stops waiting.
+        dispatched_ms: When it was sent to its target; -1 until then.
+        calls: Estimated number of calls that its run has made.
+    """
 
     origin: str
     request: messages.Request
@@ -89,23 +110,29 @@
 
     @property
     def is_dispatched(self) -> bool:
-        """Tell whether its target has it."""
+        """Tell whether it was sent to its target."""
         return self.dispatched_ms >= 0
 
     @property
     def route(self) -> str:
-        """Return the request's route."""
+        """Return the name of its route."""
         return self.request.route
 
     @property
     def repeat(self) -> float:
-        """Return how likely the target's run of it is a repeat."""
+        """Return the probability that its run is a repeat."""
         return (self.request.repeat_permille or 0) / 1000
 
 
 @dataclasses.dataclass(slots=True)
 class Crash:
-    """Requests whose connections broke at nearly the same time."""
+    """Requests whose connections broke within one crash window.
+
+    Args:
+        first_break_ms: When the first connection broke.
+        requests: The requests that were running.
+        check_pending: Whether the target is being checked for a crash.
+    """
 
     first_break_ms: int
     requests: list[TrackedRequest]
@@ -117,9 +144,9 @@
 
     Args:
         quarantine: Requests known to crash targets.
-        rng: Draws the ids of crash notices.
-        not_run_header: Header by which a target says that it did not run a
-            request.
+        rng: Source of the ids of crash notices.
+        not_run_header: Header with which a target reports that it did not
+            run a request.
     """
 
     __slots__ = (
@@ -168,13 +195,17 @@
 
     @property
     def services_key(self) -> str:
-        """Return what names the services of this host's targets."""
+        """Return the key for the set of services of this host's targets."""
         return attribution.services_key(
             target.record.service_name for target in self.targets.values()
         )
 
     def repeat_share(self, part: float) -> float:
-        """Return how likely a request that comes now is a repeat's call."""
+        """Return the probability that a new request is a call of a repeat.
+
+        Args:
+            part: Probability that the request is a call of a run here at all.
+        """
         is_dispatched = [
             tracked
             for tracked in self.running.values()
@@ -183,7 +214,7 @@
         return self.parents.repeat_share(is_dispatched, part)
 
     def set_cold_limits(self, limits: dict[str, warmups.Limit]) -> None:
-        """Take what cold targets may get, by service."""
+        """Set the rate limits of cold targets, by service."""
         self.limits = limits
         for target in self.targets.values():
             service = target.record.service_name
@@ -199,17 +230,17 @@
         """Add or update a target from its announcement.
 
         Args:
-            record: What it says of itself.
-            port: Where it takes requests.
+            record: Its announcement.
+            port: Port on which it takes requests.
             now_ms: The time on the runtime's clock.
-            warmup_left_ms: How much longer it is cold, if it tells.
+            warmup_left_ms: How much longer it is cold, 0 if not announced.
         """
         self.now_ms = now_ms
         known = self.targets.get(record.name)
         draining = record.state == messages.TargetState.DRAINING
         limit = self.limits.get(record.service_name)
         if record.state == messages.TargetState.COLD and limit is not None:
-            # It may only say that it is cold, not for how long.
+            # A target may announce that it is cold but not for how long.
             warmup_left_ms = warmup_left_ms or limit.lasts_ms
         if known is None:
             warmup = warmups.Warmup(limit)
@@ -229,12 +260,12 @@
         return self._flush()
 
     def keep_routes(self, names: collections.abc.Container[str]) -> None:
-        """Forget what was learned of routes that are no longer in force."""
+        """Remove the statistics of routes that are no longer in force."""
         self.origins.keep_only(names)
         self.parents.keep_only(names)
 
     def remove_target(self, name: str, now_ms: int) -> list[typing.Any]:
-        """Remove a target; what runs on it goes on to its end."""
+        """Remove a target; requests that run on it are completed."""
         self.now_ms = now_ms
         target = self.targets.get(name)
         if target is None:
@@ -246,10 +277,10 @@
         return self._flush()
 
     def evacuate(self, evacuated: bool, now_ms: int) -> list[typing.Any]:
-        """Send this host's targets nothing more, or something again.
+        """Stop or resume sending requests to the targets of this host.
 
-        What runs goes on to its end. What waits is given back, also where
-        its entry proxy does not know of the evacuation yet.
+        Running requests are completed. Waiting requests are refused, also if
+        their entry proxy has not received the evacuation yet.
         """
         self.now_ms = now_ms
         self.evacuated = evacuated
@@ -261,10 +292,10 @@
         return self._flush()
 
     def _assume_cold(self, name: str, now_ms: int) -> None:
-        """Take a target for cold until it was asked.
+        """Assume that a target is cold until it has been asked.
 
-        It may have turned cold without a word, and its next announcement may
-        be on its way since before that.
+        It may have become cold without announcing it, and an announcement
+        from before that may still be in flight.
         """
         target = self.targets[name]
         if target.slots.warmup.limit is not None:
@@ -273,16 +304,17 @@
             self.out.append(effects.CheckWarmup(name, target.port, service))
 
     def on_warmup(self, name: str, left_ms: int, now_ms: int) -> None:
-        """Take how much longer a target is cold, as it was asked."""
+        """Set how much longer a target is cold, as it replied."""
         target = self.targets.get(name)
         if target is not None:
             target.slots.warmup.tell(left_ms, now_ms)
 
     def _refuse_waiting(self, name: str, reason: str, now_ms: int) -> None:
-        """Refuse what waits at a target for a slot or for its body.
+        """Refuse the requests of a target that wait for a slot or a body.
 
-        Both can take seconds, and a target that leaves must get nothing by
-        then. The entry proxies may send it elsewhere: it has not run.
+        Both waits can take seconds, and a target that leaves must not get a
+        request after them. The requests have not run, so their entry proxies
+        may send them to other targets.
         """
         waiting = [
             tracked
@@ -296,19 +328,19 @@
             self._refuse(tracked, reason)
 
     def busy(self, name: str) -> int:
-        """Return how many requests run on a target."""
+        """Return the number of requests that run on a target."""
         target = self.targets.get(name)
         return target.slots.running if target else 0
 
     def has_processing_times_to_report(self) -> bool:
-        """Tell whether other proxies should hear of a target's pace."""
+        """Tell whether a processing time has changed enough to report."""
         return any(
             target.processing_time.should_report
             for target in self.targets.values()
         )
 
     def has_cold_state_changed(self, now_ms: int) -> bool:
-        """Tell whether a target is cold, or warm, that was told otherwise."""
+        """Tell whether a target's cold state differs from its last report."""
         return any(
             target.is_cold(now_ms) != target.advertised_cold
             for target in self.targets.values()
@@ -317,7 +349,7 @@
     def advertised_record(
         self, name: str, now_ms: int
     ) -> messages.TargetRecord | None:
-        """Return a target's record as other proxies learn it."""
+        """Return a target's record as sent to other proxies."""
         target = self.targets.get(name)
         return target.advertised_record(now_ms) if target is not None else None
 
@@ -326,16 +358,16 @@
     def on_request(
         self, origin: str, request: messages.Request, now_ms: int
     ) -> list[typing.Any]:
-        """Take a request from an entry proxy.
+        """Receive a request from an entry proxy.
 
         Args:
-            origin: What ``Reply`` is addressed to.
+            origin: Address of the ``Reply``.
             request: The request.
             now_ms: The time on the runtime's clock.
         """
         self.now_ms = now_ms
         if request.request_id in self.recent:
-            # A frame that is delivered twice must not run twice.
+            # A request that is delivered twice must not run twice.
             return []
         self._remember(request.request_id)
         self.origins.note(request.route, request.services_key or "")
@@ -367,16 +399,16 @@
         if target.draining:
             return "the target is draining"
         if target.record.version != request.version:
-            # An update crossed with this request: running it here would put
-            # traffic on a version that the move did not give it.
+            # The target was updated while the request was in flight. Running
+            # it would give the version traffic beyond its share in the move.
             return "the target has another version"
         return ""
 
     def _admit(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """Let a request in, its body first if that is to come.
+        """Admit a request, after its body if that is sent separately.
 
-        A slot is taken once the body is here. Held while it is on its way,
-        the target would stand idle with all of its slots taken.
+        A slot is taken only once the body is complete. If slots were held
+        while bodies are in transfer, a target could be idle with no slot free.
         """
         if tracked.request.body_bytes:
             self._admit_body(tracked, now_ms)
@@ -384,10 +416,10 @@
             self._admit_run(tracked, now_ms)
 
     def _admit_body(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """Ask for a body if its run can follow, else refuse it at once.
+        """Request a body if its request can run then, or refuse it at once.
 
-        Told before a byte of it is sent, the request can go to another host,
-        or its caller can come back.
+        A refusal before any byte of the body is sent lets the request go to
+        another host or its caller retry.
         """
         request = tracked.request
         estimate = self._estimate(tracked, now_ms)
@@ -411,10 +443,11 @@
     def _may_request_body(
         self, tracked: TrackedRequest, estimate: bodies.BodyEstimate
     ) -> bool:
-        """Tell whether a body may be asked for.
+        """Tell whether a body may be requested.
 
-        As with slots, what may still go elsewhere does not wait here: its
-        entry proxy learns how long they are taken, and finds free ones.
+        As with slots, a request that can still go to another host does not
+        wait here: the refusal carries the load of this host, and the entry
+        proxy selects a free one.
         """
         if not tracked.request.settled:
             is_busy = self.incoming_bodies.is_busy(self.now_ms)
@@ -422,7 +455,7 @@
         return estimate.meets_latency_target or estimate.meets_deadline
 
     def _link_free_in_ms(self) -> int:
-        """Return when the link is expected to have a pause."""
+        """Return the expected time until the link is idle."""
         return max(self.incoming_bodies.expected_last_ms(), MIN_RETRY_MS)
 
     def _estimate(
@@ -474,7 +507,7 @@
         )
 
     def _remove(self, request_id: int, now_ms: int) -> TrackedRequest:
-        """Forget a request and the body that is on its way."""
+        """Remove a request and its body, if that is incomplete."""
         if self.incoming_bodies.waits_for(request_id):
             self.out += self.incoming_bodies.remove(request_id, now_ms)
         return self.running.pop(request_id)
@@ -482,14 +515,14 @@
     def on_body_chunk(
         self, chunk: messages.BodyPiece, now_ms: int
     ) -> list[typing.Any]:
-        """Take a piece of a request's body; run it if that was the last."""
+        """Receive a chunk of a body; admit the request after the last one."""
         self.now_ms = now_ms
         complete, chunk_requests = self.incoming_bodies.receive(chunk, now_ms)
         self.out += chunk_requests
         tracked = self.running.get(chunk.request_id)
         if complete is not None and tracked is not None:
             tracked.request.body = complete
-            # What it took to bring it here is lost if it goes elsewhere.
+            # The transfer would be wasted if the request went elsewhere.
             tracked.request.settled = True
             occupancy = self.targets[tracked.target].occupancy
             occupancy.body_came(now_ms - tracked.received_ms)
@@ -497,7 +530,7 @@
         return self._flush()
 
     def _dispatch(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """Run a request that has a slot."""
+        """Send a request that has a slot to its target."""
         tracked.dispatched_ms = now_ms
         if tracked.request.repeat_permille == CERTAIN_PERMILLE:
             request_id = tracked.request.request_id
@@ -513,7 +546,7 @@
         )
 
     def on_cancel(self, request_id: int, now_ms: int) -> list[typing.Any]:
-        """Stop a request whose caller went away."""
+        """Cancel a request whose caller disconnected."""
         self.now_ms = now_ms
         tracked = self.running.get(request_id)
         if tracked is None:
@@ -526,12 +559,12 @@
             self._remove(request_id, now_ms)
         return self._flush()
 
-    # What targets do
+    # Events from targets
 
     def on_target_answer(
         self, answer: messages.Answer, now_ms: int
     ) -> list[typing.Any]:
-        """Take a target's whole answer."""
+        """Process the complete answer of a target."""
         self.now_ms = now_ms
         tracked = self.running.get(answer.request_id)
         if tracked is None:
@@ -550,14 +583,18 @@
         return self._flush()
 
     def _reply(self, tracked: TrackedRequest, answer: messages.Answer) -> None:
-        """Send an answer, with what its entry proxy should know of here."""
+        """Send an answer with the current load to its entry proxy."""
         answer.load = self._load_of(tracked.target)
         answer.body_wait_ms = self.incoming_bodies.expected_ms(self.now_ms)
         answer.held_ms = self.now_ms - tracked.received_ms
         self.out.append(effects.Reply(tracked.origin, answer))
 
     def _called_permille(self, request: messages.Request) -> int:
-        """Return which part of such requests its proxy's targets send."""
+        """Return the share of such requests that are calls of targets.
+
+        Only calls by targets on the host of the entry proxy count; the unit is
+        1/1000.
+        """
         share = self.origins.called_share(
             request.route, request.services_key or ""
         )
@@ -566,19 +603,19 @@
     def _record_processing_time(
         self, tracked: TrackedRequest, answer: messages.Answer
     ) -> None:
-        """Learn from an answer how fast its target is, and say so in it."""
+        """Add an answer to its target's processing time and report that."""
         target = self.targets.get(tracked.target)
         if target is None:
             return
         if answer.service_us and not target.is_cold(self.now_ms):
-            # A cold target is slow for seconds, which is told apart.
+            # A cold target is slow for seconds, which is reported separately.
             target.processing_time.add(answer.service_us)
         answer.usual_us = target.processing_time.usual_us
 
     def on_target_unsent(
         self, request_id: int, now_ms: int
     ) -> list[typing.Any]:
-        """Note that no byte of a request reached its target."""
+        """Handle a request of which no byte reached its target."""
         self.now_ms = now_ms
         tracked = self.running.get(request_id)
         if tracked is not None:
@@ -589,11 +626,11 @@
     def on_target_disconnected(
         self, request_id: int, now_ms: int
     ) -> list[typing.Any]:
-        """Note that a target's connection broke before the whole answer.
+        """Handle a connection that broke before the answer was complete.
 
-        The breaks of a crash come within milliseconds of each other: those
-        within ``CRASH_GATHER_MS`` are told as one crash, with every request
-        that may be its cause.
+        When a target crashes, its connections break within milliseconds of
+        each other. Breaks within ``CRASH_WINDOW_MS`` are reported as one
+        crash, with all requests that may have caused it.
         """
         self.now_ms = now_ms
         tracked = self.running.get(request_id)
@@ -605,7 +642,7 @@
         return self._flush()
 
     def tick(self, now_ms: int) -> list[typing.Any]:
-        """Expire what waits or runs past its deadline; tell of crashes."""
+        """Expire requests, start queued ones, report crashes and load."""
         self.now_ms = now_ms
         for target in list(self.targets.values()):
             for request_id in target.slots.expired(now_ms):
@@ -627,7 +664,7 @@
         return self._flush()
 
     def _moment(self, target: LocalTarget) -> occupancies.Moment:
-        """Return what a target and this host's link are taken by."""
+        """Return the current load of a target and of this host's link."""
         return occupancies.Moment(
             slots=target.slots.slots,
             running=target.slots.running,
@@ -637,7 +674,7 @@
         )
 
     def _expire(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """End a request whose time is over, or whose body comes too late."""
+        """End a request past its deadline or with a body too late."""
         if tracked.is_dispatched:
             if now_ms >= tracked.deadline_at_ms:
                 self._time_out(tracked, now_ms)
@@ -650,10 +687,10 @@
             )
 
     def _is_body_too_late(self, tracked: TrackedRequest, now_ms: int) -> bool:
-        """Tell whether a body that was let in can't be here in time.
+        """Tell whether a requested body cannot be complete in time.
 
-        One that others go before waits for a pause of the link. Kept until
-        its deadline, its caller could not even come back.
+        A deferred body waits until the link is idle. If it were kept until
+        its deadline, its caller would have no time left to retry.
         """
         request_id = tracked.request.request_id
         if not self.incoming_bodies.waits_for(request_id):
@@ -666,10 +703,11 @@
         return ends_ms > tracked.deadline_at_ms
 
     def _check_crash(self, name: str, crash: Crash) -> None:
-        """Find out whether a target crashed or only broke answers off.
+        """Check whether a target crashed or only closed connections.
 
-        A target that lives and breaks one answer in fifty off would else
-        have its callers' requests refused everywhere as its killers.
+        Otherwise, if a running target broke one answer in fifty off, the
+        requests of its callers would be quarantined everywhere as the cause
+        of crashes.
         """
         target = self.targets.get(name)
         if target is None:
@@ -680,7 +718,12 @@
             self.out.append(effects.CheckTarget(name, target.port))
 
     def on_target_checked(self, name: str, accepts: bool) -> list[typing.Any]:
-        """Take whether a target whose connections broke takes new ones."""
+        """Process the check of a target whose connections broke.
+
+        Args:
+            name: Name of the target.
+            accepts: Whether it accepts new connections.
+        """
         crash = self.crashes.pop(name, None)
         if crash is not None and accepts:
             self._report_broken(crash)
@@ -740,7 +783,7 @@
             )
             self._reply(tracked, answer)
 
-    # Common
+    # Shared helpers
 
     def _release(
         self, tracked: TrackedRequest, now_ms: int, *, completed: bool = False
@@ -760,7 +803,7 @@
             self.targets.pop(tracked.target, None)
 
     def _start_waiting(self, target: LocalTarget, now_ms: int) -> None:
-        """Run the queued requests that a target may get now."""
+        """Dispatch the queued requests that a target may get now."""
         request_id = target.slots.next_admitted(now_ms)
         while request_id is not None:
             self._dispatch(self.running[request_id], now_ms)
@@ -793,7 +836,7 @@
     def _note(
         self, event: str, tracked: TrackedRequest, **fields: typing.Any
     ) -> None:
-        """Log a decision on a request, with its caller's id."""
+        """Log an event of a request under the id that its caller gave."""
         target = self.targets.get(tracked.target)
         slots = target.slots if target is not None else None
         self.out.append(
@@ -827,7 +870,7 @@
 
 
 def _queued_request(tracked: TrackedRequest) -> admission.QueuedRequest:
-    """Return a request as it would wait for a slot."""
+    """Return a request in the form that admission control queues."""
     request = tracked.request
     return admission.QueuedRequest(
         request.request_id,
