--- a/libs/requests/tests/test_admission.py
+++ b/libs/requests/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission before a target: slots, a short queue, refusals at once."""
+"""Tests of admission control: slots, queue, refusals and evictions."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -28,8 +28,8 @@
     assert controller.next_admitted() == 3
 
 
-def test_a_hopeless_request_is_refused_at_once() -> None:
-    """The queue would take longer than the request has."""
+def test_a_request_that_would_miss_its_deadline_is_refused() -> None:
+    """The expected wait in the queue exceeds the request's deadline."""
     controller = admission.AdmissionController(1)
     controller.service_ms = 100
     controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
@@ -52,14 +52,14 @@
 @pytest.mark.parametrize(
     ("usual_ms", "kept_ms", "given_up_ms"), [(20, 125, 126), (90, 110, 111)]
 )
-def test_what_waits_too_long_is_given_up_in_time(
+def test_a_queued_request_is_refused_before_its_deadline(
     usual_ms: int, kept_ms: int, given_up_ms: int
 ) -> None:
-    """A request waits for a slot; its caller waits until 200 ms.
+    """A refusal reaches the entry proxy before the caller's deadline, 200 ms.
 
-    It is given up when its run no longer fits, and early enough that its
-    entry proxy hears that it did not run before it gives up itself. Told
-    later, a request that may not be repeated ended as one of unknown fate.
+    The request is refused when its run no longer fits. If the refusal came
+    after the entry proxy's own time-out, a request that must not be repeated
+    ended with an unknown result.
     """
     controller = admission.AdmissionController(1)
     controller.service_ms = usual_ms
@@ -72,7 +72,7 @@
 
 
 class AdmissionMachine(stateful.RuleBasedStateMachine):
-    """Slots never run over, every request has one fate."""
+    """Random operations: slots and queue stay bounded, no request is lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -128,12 +128,12 @@
 )
 
 
-def test_a_burst_is_served_by_what_can_still_be_in_time() -> None:
-    """Twice what one slot can do comes for two seconds.
+def test_in_a_burst_requests_that_can_be_in_time_go_first() -> None:
+    """Requests arrive for two seconds at twice the rate of one slot.
 
-    In order of arrival each waits as long as the queue is: of 24 answers 5
-    are in time, one of them on the urgent route. By what can be in time it
-    is 22 of 23, with all ten of the urgent route.
+    In order of arrival each waits for the whole queue: of 24 answers 5 are in
+    time, one of them on the urgent route. If those that can be in time go
+    first, it is 22 of 23, with all ten of the urgent route.
     """
     controller = admission.AdmissionController(1)
     controller.service_ms = 100
@@ -167,7 +167,7 @@
     assert set(urgent) <= set(in_time)
 
 
-def test_an_urgent_request_takes_the_place_of_a_less_urgent_one() -> None:
+def test_an_urgent_request_evicts_a_less_urgent_one() -> None:
     controller = admission.AdmissionController(1)
     controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
     for number in range(2, 2 + admission.QUEUE_PER_SLOT):
@@ -183,7 +183,7 @@
     assert controller.next_admitted(10) == 99
 
 
-def test_an_unsettled_request_does_not_wait() -> None:
+def test_a_request_that_may_not_queue_is_refused() -> None:
     controller = admission.AdmissionController(1)
     assert (
         controller.offer(
--- a/libs/requests/tests/test_attribution.py
+++ b/libs/requests/tests/test_attribution.py
@@ -99,7 +99,7 @@
     assert called.part("r") == 0.0
 
 
-def test_routes_that_are_gone_are_forgotten() -> None:
+def test_removed_routes_are_dropped() -> None:
     called = attribution.Called({"r": 1.0, "s": 0.5})
     called.keep_only({"s"})
     assert called.parts == {"s": 0.5}
--- a/libs/requests/tests/test_bodies.py
+++ b/libs/requests/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Large bodies beside small calls on one thin link."""
+"""Tests of large bodies and small calls on one narrow link."""
 
 import heapq
 import itertools
@@ -18,10 +18,10 @@
 
 
 class Link:
-    """A host's link of 5.5 Mbit/s: what comes waits for what came before.
+    """Simulated link of a host, 5.5 Mbit/s, first in first out.
 
     Args:
-        seed: Draws when calls and bodies come.
+        seed: Seed of the arrival times of calls and bodies.
     """
 
     def __init__(self, seed: int) -> None:
@@ -36,11 +36,11 @@
         self.upload_times_ms: list[float] = []
 
     def at(self, at_ms: float, action: typing.Callable[[], None]) -> None:
-        """Let something happen."""
+        """Schedule an action."""
         heapq.heappush(self.events, (at_ms, next(self.numbers), action))
 
     def send(self, size: int, deliver: typing.Callable[[], None]) -> None:
-        """Send towards the host."""
+        """Send bytes to the host; call ``deliver`` when they arrive."""
         self.free_at_ms = max(self.free_at_ms, self.now_ms + PROPAGATION_MS)
         self.free_at_ms += size / LINK_BYTES_PER_MS
         self.at(self.free_at_ms, deliver)
@@ -53,23 +53,23 @@
             lambda: self.call_times_ms.append(self.now_ms - since_ms),
         )
 
-    def upload_at_once(self) -> None:
-        """Send a request with its body."""
+    def upload_with_request(self) -> None:
+        """Send a request together with its body."""
         since_ms = self.now_ms
         self.send(
             BODY_BYTES,
             lambda: self.upload_times_ms.append(self.now_ms - since_ms),
         )
 
-    def upload_when_asked(self) -> None:
-        """Send a request whose body waits until it is asked for."""
+    def upload_on_request(self) -> None:
+        """Send a request whose body is sent on request only."""
         number = next(self.numbers)
         self.sent_ms[number] = self.now_ms
         origin = f"h{self.rng.randrange(SENDERS)}"
-        self.send(SMALL_BYTES, lambda: self.add(number, origin))
+        self.send(SMALL_BYTES, lambda: self.accept(number, origin))
 
-    def add(self, number: int, origin: str) -> None:
-        """Take the request and ask for its body."""
+    def accept(self, number: int, origin: str) -> None:
+        """Receive the request and request its body."""
         now_ms = int(self.now_ms)
         chunk_requests = self.incoming_bodies.add(
             number, origin, BODY_BYTES, now_ms + 1000, now_ms
@@ -77,7 +77,7 @@
         self.ask(chunk_requests)
 
     def ask(self, chunk_requests: list[bodies.ChunkRequest]) -> None:
-        """Carry the questions to the senders, and their pieces back."""
+        """Send chunk requests to the senders, and their chunks back."""
         for ask in chunk_requests:
             self.at(
                 self.now_ms + PROPAGATION_MS,
@@ -85,14 +85,14 @@
             )
 
     def answer(self, pull: messages.BodyPull) -> None:
-        """Send a piece."""
+        """Send a chunk."""
         chunk = messages.BodyPiece(
             pull.request_id, pull.offset, bytes(pull.length)
         )
         self.send(pull.length + 30, lambda: self.receive(chunk))
 
     def receive(self, chunk: messages.BodyPiece) -> None:
-        """Take a piece that came."""
+        """Receive a chunk."""
         complete, chunk_requests = self.incoming_bodies.receive(
             chunk, int(self.now_ms)
         )
@@ -105,7 +105,7 @@
     def run(
         self, upload: typing.Callable[[], None], lasts_ms: int = 20_000
     ) -> typing.Self:
-        """Let 7 uploads and 40 small calls come in a second."""
+        """Simulate 7 uploads and 40 small calls a second until all end."""
         for action, per_s in ((upload, 7), (self.call, 40)):
             at_ms = 0.0
             while at_ms < lasts_ms:
@@ -118,21 +118,21 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return what a share of some times is at most."""
+    """Return the quantile of some values at a share from 0 to 1."""
     return sorted(values)[int(share * len(values))]
 
 
 def test_small_calls_do_not_wait_behind_large_bodies() -> None:
-    """Uploads fill 0.6 of the link of a host that also serves checks.
+    """Uploads use 0.6 of the link of a host that also serves small calls.
 
-    Sent with their requests they hold a small call up for 389 ms one time in
-    ten, twice its aim; asked for piece by piece for 22 ms. A body takes a
-    sixth longer than before.
+    If bodies are sent with their requests, one small call in ten is delayed by
+    389 ms, twice its latency target; with chunks on request, by 22 ms. A body
+    takes a sixth longer.
     """
     before = Link(1)
-    before.run(before.upload_at_once)
+    before.run(before.upload_with_request)
     after = Link(1)
-    after.run(after.upload_when_asked)
+    after.run(after.upload_on_request)
     assert quantile(before.call_times_ms, 0.9) >= 250
     assert quantile(after.call_times_ms, 0.9) <= 35
     assert quantile(after.call_times_ms, 0.99) <= 60
@@ -142,7 +142,7 @@
     )
 
 
-def test_the_body_that_is_due_first_comes_first() -> None:
+def test_the_body_that_is_due_first_is_transferred_first() -> None:
     incoming = bodies.IncomingBodies()
     first, second = incoming.add(1, "a", 20_000, 900, 0)
     assert (first.pull.offset, second.pull.offset) == (0, 8192)
@@ -157,8 +157,8 @@
     assert {ask.origin for ask in chunk_requests} == {"c"}
 
 
-def test_a_sender_that_stands_still_does_not_hold_up_others() -> None:
-    """Its proxy freezes in the middle of a body and wakes later."""
+def test_a_stalled_sender_does_not_block_others() -> None:
+    """Its proxy is suspended in the middle of a body and resumes later."""
     incoming = bodies.IncomingBodies()
     incoming.add(1, "a", 30_000, 500, 0)
     incoming.add(2, "b", 30_000, 900, 0)
@@ -172,8 +172,8 @@
     ]
 
 
-def test_what_a_stalled_sender_sent_is_not_asked_for_again() -> None:
-    """A proxy that woke sent a part of the body twice over a thin link."""
+def test_chunks_of_a_stalled_sender_are_not_requested_again() -> None:
+    """A resumed proxy sent a part of its body twice over a narrow link."""
     incoming = bodies.IncomingBodies()
     incoming.add(1, "a", 30_000, 500, 0)
     incoming.add(2, "b", 30_000, 900, 0)
@@ -186,15 +186,15 @@
 def deliver_chunk(
     incoming: bodies.IncomingBodies, number: int, now_ms: int
 ) -> list[bodies.ChunkRequest]:
-    """Bring the next piece of a body; return what is asked for then."""
+    """Deliver the next chunk of a body; return the next chunk requests."""
     body = incoming.waiting[number]
     length = min(bodies.CHUNK_BYTES, body.remaining_bytes)
     chunk = messages.BodyPiece(number, len(body.data), bytes(length))
     return incoming.receive(chunk, now_ms)[1]
 
 
-def test_others_come_beside_a_body_whose_sender_is_slow() -> None:
-    """A sender at a tenth of the link's rate held it for 0.9 s."""
+def test_bodies_are_transferred_beside_one_with_a_slow_sender() -> None:
+    """A sender at a tenth of the link's rate blocked the link for 0.9 s."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     for number, origin in enumerate("abcde"):
@@ -209,7 +209,10 @@
 
 
 def test_a_slow_sender_is_not_taken_for_a_slow_link() -> None:
-    """The bodies of all others were refused after one that took 0.9 s."""
+    """All other bodies were refused after one slow body that took 0.9 s.
+
+    The rate of the slow sender was counted as the rate of the link.
+    """
     incoming = bodies.IncomingBodies()
     now_ms = 0
     for number in range(1, 13):
@@ -222,8 +225,8 @@
 
 
 @pytest.mark.parametrize("offset", [8192, -1, 99])
-def test_a_piece_that_is_not_the_next_one_is_dropped(offset: int) -> None:
-    """Pieces that were asked for twice come twice."""
+def test_a_chunk_that_is_not_the_next_one_is_dropped(offset: int) -> None:
+    """Chunks that were requested twice arrive twice."""
     incoming = bodies.IncomingBodies()
     incoming.add(1, "a", 20_000, 900, 0)
     assert incoming.receive(messages.BodyPiece(1, offset, b"x"), 0) == (
@@ -233,8 +236,8 @@
     assert incoming.receive(messages.BodyPiece(7, 0, b"x"), 0) == (None, [])
 
 
-def test_the_wait_for_the_link_is_known() -> None:
-    """One body told how fast the link is; two more are on their way."""
+def test_the_wait_for_the_link_is_estimated() -> None:
+    """The rate of the link is known; two bodies are in transfer."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     for number in (1, 2):
@@ -246,7 +249,7 @@
 
 
 def test_the_rate_follows_the_link() -> None:
-    """Other traffic fills half of the link from now on."""
+    """Other traffic starts to use half of the link."""
     incoming = bodies.IncomingBodies()
     now_ms = 0
     for number in range(12):
@@ -260,7 +263,7 @@
 
 
 def estimate(**fields: float) -> bodies.BodyEstimate:
-    """Return the prospect of a body that comes at once to a free target."""
+    """Return the estimate of a body that is sent at once to a free target."""
     given = {
         "body_ms": 90.0,
         "last_ms": 90.0,
@@ -285,10 +288,10 @@
         ({"latency_target_ms": 389.0}, False),
     ],
 )
-def test_what_is_surely_in_time(
+def test_estimates_that_meet_the_latency_target(
     fields: dict[str, float], in_time: bool
 ) -> None:
-    """A body waits for its link while the slot is waited for."""
+    """The waits for the link and for a slot run in parallel."""
     assert estimate(**fields).meets_latency_target == in_time
 
 
@@ -301,15 +304,15 @@
         ({"latency_target_ms": 1.0, "slot_ms": 2861.0}, False),
     ],
 )
-def test_late_bodies_come_where_their_callers_still_wait(
+def test_estimates_that_meet_the_deadline(
     fields: dict[str, float], welcome: bool
 ) -> None:
-    """A late answer is worth less than one in time, and more than none."""
+    """A late answer is worth less than one in time but more than none."""
     assert estimate(**fields).meets_deadline == welcome
 
 
-def test_a_body_that_is_late_comes_after_those_in_time() -> None:
-    """One late body made the next one late, and that the one after it."""
+def test_late_bodies_are_transferred_after_those_in_time() -> None:
+    """A late body made the next one late, which delayed all after it."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     incoming.add(1, "a", 8192, 900, 0)
@@ -328,10 +331,10 @@
     ("taken_ms", "least_ms", "most_ms"),
     [(0, 87, 87), (500, 140, 160), (5000, 5000, 90_000)],
 )
-def test_a_late_body_waits_for_what_others_leave_of_the_link(
+def test_a_late_body_gets_the_rest_of_the_link(
     taken_ms: int, least_ms: int, most_ms: int
 ) -> None:
-    """In a long overload it would be waited for, and never come."""
+    """In a long overload such a body would wait and never be transferred."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     incoming.add(1, "a", 8192, 1_000_000, 0)
@@ -341,8 +344,8 @@
     assert least_ms <= incoming.expected_last_ms(BODY_BYTES) <= most_ms
 
 
-def test_late_bodies_do_not_send_those_in_time_away() -> None:
-    """A call went elsewhere from a link that only brought a late body."""
+def test_late_bodies_do_not_make_the_link_busy() -> None:
+    """Calls were sent elsewhere although only a late body used the link."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     incoming.add(1, "late", BODY_BYTES, 10, 0)
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The keys that a keeper remembers, in bounded memory."""
+"""Tests of a ledger replica: bounded memory, views and recovery."""
 
 import pytest
 
@@ -7,9 +7,9 @@
 
 
 def make_ledger() -> ledgers.Ledger:
-    made = ledgers.Ledger("h1", 1, 0, 0)
-    made.sets.update({"s": ["h1", "h2", "h3"]}, 0)
-    return made
+    ledger = ledgers.Ledger("h1", 1, 0, 0)
+    ledger.sets.update({"s": ["h1", "h2", "h3"]}, 0)
+    return ledger
 
 
 def claim(key: int, claim_id: int = 1) -> messages.Claim:
@@ -23,25 +23,25 @@
     )
 
 
-def test_a_full_ledger_abstains_and_forgets_nothing(monkeypatch) -> None:
-    """More keys come than are kept; none that lives is dropped."""
+def test_a_full_ledger_abstains_and_drops_no_live_key(monkeypatch) -> None:
+    """More keys arrive than fit; no live key is dropped."""
     monkeypatch.setattr(ledgers, "MAX_ENTRIES", 3)
-    made = make_ledger()
-    verdicts = [made.claim(claim(key), 0).verdict for key in range(5)]
+    ledger = make_ledger()
+    verdicts = [ledger.claim(claim(key), 0).verdict for key in range(5)]
     assert verdicts == [1, 1, 1, ledgers.ABSTAIN, ledgers.ABSTAIN]
-    assert made.claim(claim(0, 2), 1).verdict == ledgers.TAKEN
+    assert ledger.claim(claim(0, 2), 1).verdict == ledgers.TAKEN
     later_ms = ledgers.RETENTION_MS + 1
-    assert made.claim(claim(9), later_ms).verdict == ledgers.GRANTED
+    assert ledger.claim(claim(9), later_ms).verdict == ledgers.GRANTED
 
 
-def test_old_answers_go_before_their_keys(monkeypatch) -> None:
+def test_old_answers_are_dropped_before_their_keys(monkeypatch) -> None:
     monkeypatch.setattr(ledgers, "MAX_TOTAL_ANSWER_BYTES", 250)
-    made = make_ledger()
+    ledger = make_ledger()
     for key in range(3):
-        made.claim(claim(key, key), 0)
+        ledger.claim(claim(key, key), 0)
         answer = messages.Answer(status=200, body=b"x" * 100)
-        made.done(messages.ClaimDone(key, key, answer))
-    replies = [made.claim(claim(key, 99), 1) for key in range(3)]
+        ledger.done(messages.ClaimDone(key, key, answer))
+    replies = [ledger.claim(claim(key, 99), 1) for key in range(3)]
     assert [r.verdict for r in replies] == [ledgers.TAKEN] * 3
     assert [r.answer is None for r in replies] == [True, False, False]
 
@@ -50,17 +50,17 @@
     ("hosts", "verdict"),
     [(["h1", "h2", "h3"], ledgers.GRANTED), (["h1", "h2"], ledgers.ABSTAIN)],
 )
-def test_a_claimant_with_another_view_gets_nothing(
+def test_only_a_claimant_with_the_same_view_gets_a_grant(
     hosts: list[str], verdict: int
 ) -> None:
-    made = make_ledger()
+    ledger = make_ledger()
     asked = claim(1)
     asked.keepers = hosts
-    assert made.claim(asked, 0).verdict == verdict
+    assert ledger.claim(asked, 0).verdict == verdict
 
 
-def test_a_host_that_left_lately_stays_in_the_ranking() -> None:
-    """Else a key's keepers could change by two at once."""
+def test_a_host_that_left_recently_stays_in_the_ranking() -> None:
+    """Otherwise two replicas of a key could change at once."""
     sets = ledgers.ReplicaSets()
     sets.update({"s": ["a", "b", "c", "d"]}, 0)
     before = sets.keepers("s", 5, 0)
@@ -75,44 +75,44 @@
     ("key", "issued_ms"),
     [("1796256000000-x", 1796256000000), ("179625600000-x", 0), ("abc", 0)],
 )
-def test_keys_tell_when_they_were_issued(key: str, issued_ms: int) -> None:
+def test_the_issue_time_is_read_from_a_key(key: str, issued_ms: int) -> None:
     assert ledgers.issued_ms_of(key) == issued_ms
 
 
 def fleet_ledger(hosts: int) -> ledgers.Ledger:
-    made = ledgers.Ledger("h0", 1, 0, 0)
+    ledger = ledgers.Ledger("h0", 1, 0, 0)
     names = [f"h{number}" for number in range(hosts)]
-    made.sets.update({"s": names}, 0)
-    return made
+    ledger.sets.update({"s": names}, 0)
+    return ledger
 
 
-def count_pulls(made: ledgers.Ledger, from_ms: int, to_ms: int) -> int:
-    """Let time pass while every host that is asked says that it restarted."""
+def count_pulls(ledger: ledgers.Ledger, from_ms: int, to_ms: int) -> int:
+    """Return the pulls in a period in which all hosts have restarted."""
     count = 0
     for now_ms in range(from_ms, to_ms, 50):
-        for host in made.tick(now_ms, True):
+        for host in ledger.tick(now_ms, True):
             count += 1
-            made.push(messages.LedgerPush(host, [], False), now_ms)
+            ledger.push(messages.LedgerPush(host, [], False), now_ms)
     return count
 
 
-def test_a_fleet_whose_callers_send_no_keys_hardly_pulls() -> None:
-    """Each host asked each other one twice a second for ten minutes."""
+def test_without_keys_in_use_hosts_pull_only_from_a_sample() -> None:
+    """Each host asked every other one twice a second for ten minutes."""
     assert count_pulls(fleet_ledger(200), 0, 60_000) <= ledgers.SAMPLE_HOSTS
 
 
-def test_once_keys_are_in_use_every_keeper_is_asked_ever_less_often() -> None:
-    made = fleet_ledger(200)
-    count_pulls(made, 0, 5000)
-    made.claim(claim(1), 5000)
-    assert count_pulls(made, 5000, 5500) == 199
-    assert count_pulls(made, 5500, 65_000) <= 8 * 199
+def test_with_keys_in_use_all_hosts_are_pulled_at_growing_intervals() -> None:
+    ledger = fleet_ledger(200)
+    count_pulls(ledger, 0, 5000)
+    ledger.claim(claim(1), 5000)
+    assert count_pulls(ledger, 5000, 5500) == 199
+    assert count_pulls(ledger, 5500, 65_000) <= 8 * 199
 
 
-def test_a_host_that_holds_keys_tells_that_they_are_in_use() -> None:
-    """A keeper that restarted in a fleet with keys asks everyone for them."""
-    made = fleet_ledger(200)
-    asked = made.tick(0, True)
+def test_records_from_one_host_show_that_keys_are_in_use() -> None:
+    """A replica that restarts where keys are in use asks all hosts."""
+    ledger = fleet_ledger(200)
+    asked = ledger.tick(0, True)
     entry = messages.LedgerEntry(7, 1, 2, 100, None)
-    made.push(messages.LedgerPush(asked[0], [entry], True), 10)
-    assert len(made.tick(50, True)) == 198
+    ledger.push(messages.LedgerPush(asked[0], [entry], True), 10)
+    assert len(ledger.tick(50, True)) == 198
--- a/libs/requests/tests/test_occupancy.py
+++ b/libs/requests/tests/test_occupancy.py
@@ -1,10 +1,10 @@
-"""What logs tell of the slots of a target."""
+"""Tests of the log lines on the load of a target."""
 
 from trefoil_requests import occupancy as occupancies
 
 
 def moment(**fields: int) -> occupancies.Moment:
-    """Return a moment of a target of five slots."""
+    """Return a load sample of a target with five slots."""
     given = {
         "slots": 5,
         "running": 0,
@@ -15,31 +15,35 @@
     return occupancies.Moment(**given | fields)
 
 
-def test_a_target_that_works_is_told_from_one_that_waits() -> None:
-    """Both refuse; one is full, the other waits for its link."""
-    made = occupancies.Occupancy("t1")
-    made.tell(moment(), 0)
+def test_a_busy_target_differs_from_one_that_waits_for_bodies() -> None:
+    """Both refuse requests; one is full, the other waits for its link."""
+    occupancy = occupancies.Occupancy("t1")
+    occupancy.tell(moment(), 0)
     for _ in range(9):
-        made.tell(moment(running=1, bodies=4, body_wait_ms=350), 500)
-    made.refuse("no slot in time")
-    made.body_came(420)
-    (line,) = made.tell(moment(running=1, bodies=4), 1000)
+        occupancy.tell(moment(running=1, bodies=4, body_wait_ms=350), 500)
+    occupancy.refuse("no slot in time")
+    occupancy.body_came(420)
+    (line,) = occupancy.tell(moment(running=1, bodies=4), 1000)
     assert line.event == "target.load"
-    told = line.fields
-    assert (told["slots"], told["running"], told["bodies"]) == (5, 0.9, 3.6)
-    assert (told["bodies_came"], told["body_took_ms"]) == (1, 420)
-    assert (told["refused"], told["why"]) == (1, "no slot in time: 1")
-    assert told["body_wait_ms"] == 350
-
-
-def test_a_target_without_refusals_or_bodies_is_left_out() -> None:
-    made = occupancies.Occupancy("t1")
-    assert made.tell(moment(running=2), 0) == []
-    assert made.tell(moment(running=2), 1000) == []
-
-
-def test_what_was_told_is_not_told_again() -> None:
-    made = occupancies.Occupancy("t1")
-    made.refuse("no slot in time")
-    assert made.tell(moment(), 0)
-    assert made.tell(moment(), 1000) == []
+    fields = line.fields
+    assert (fields["slots"], fields["running"], fields["bodies"]) == (
+        5,
+        0.9,
+        3.6,
+    )
+    assert (fields["bodies_came"], fields["body_took_ms"]) == (1, 420)
+    assert (fields["refused"], fields["why"]) == (1, "no slot in time: 1")
+    assert fields["body_wait_ms"] == 350
+
+
+def test_a_target_without_refusals_or_bodies_is_not_logged() -> None:
+    occupancy = occupancies.Occupancy("t1")
+    assert occupancy.tell(moment(running=2), 0) == []
+    assert occupancy.tell(moment(running=2), 1000) == []
+
+
+def test_a_refusal_is_logged_only_once() -> None:
+    occupancy = occupancies.Occupancy("t1")
+    occupancy.refuse("no slot in time")
+    assert occupancy.tell(moment(), 0)
+    assert occupancy.tell(moment(), 1000) == []
--- a/libs/requests/tests/test_original_deadline.py
+++ b/libs/requests/tests/test_original_deadline.py
@@ -1,19 +1,19 @@
-"""What callers' deadlines tell of how long they have waited."""
+"""Tests of the waits that are inferred from callers' deadlines."""
 
 import random
 
 from trefoil_requests import original_deadline as originals
 
 
-def test_a_caller_that_comes_back_has_waited() -> None:
+def test_the_wait_of_a_retry_is_inferred() -> None:
     deadlines = originals.OriginalDeadlines()
     for _ in range(20):
         assert deadlines.waited_ms("r", 2000) == 0
     assert deadlines.waited_ms("r", 1600) == 400
 
 
-def test_while_most_requests_are_returns_the_first_ones_still_show() -> None:
-    """Each caller is refused twice; two thirds of the requests are returns."""
+def test_first_attempts_are_found_when_most_requests_are_retries() -> None:
+    """Each caller is refused twice; two thirds of the requests are retries."""
     deadlines = originals.OriginalDeadlines()
     rng = random.Random(1)
     for _ in range(60):
@@ -26,15 +26,15 @@
     assert waited_ms > 0
 
 
-def test_a_few_patient_callers_do_not_make_the_others_late() -> None:
+def test_a_few_longer_deadlines_do_not_count() -> None:
     deadlines = originals.OriginalDeadlines()
     for number in range(64):
         deadlines.waited_ms("r", 6000 if number % 20 == 0 else 2000)
     assert deadlines.waited_ms("r", 2000) == 0
 
 
-def test_where_no_deadline_is_common_nothing_is_concluded() -> None:
-    """Calls inherit what their parent has left; each has another deadline."""
+def test_without_a_common_deadline_no_wait_is_inferred() -> None:
+    """Calls inherit the remaining time of their parent; deadlines differ."""
     deadlines = originals.OriginalDeadlines()
     rng = random.Random(1)
     waited = [
@@ -43,7 +43,7 @@
     assert set(waited) == {0}
 
 
-def test_routes_that_are_gone_are_forgotten() -> None:
+def test_removed_routes_are_dropped() -> None:
     deadlines = originals.OriginalDeadlines()
     deadlines.waited_ms("r", 2000)
     deadlines.waited_ms("s", 2000)
--- a/libs/requests/tests/test_processing_time.py
+++ b/libs/requests/tests/test_processing_time.py
@@ -1,4 +1,4 @@
-"""Usual times of targets: measured at one place, told to all."""
+"""Tests of processing times, measured by one proxy and sent to all."""
 
 import math
 import random
@@ -10,7 +10,7 @@
 from trefoil_requests import routing
 from trefoil_wire import messages
 
-# Answers of 5 KiB that are late after 626 ms.
+# Answers of 5 KiB with a latency target of 626 ms.
 HURRY = cross_domain.Urgency(626_000, 4_172_000, cross_domain.cost(5))
 TARGETS = 48
 PROXIES = 30
@@ -20,7 +20,7 @@
 SPREAD = 0.8
 
 
-def record(number: int, told_us: int) -> messages.HostRecord:
+def record(number: int, usual_us: int) -> messages.HostRecord:
     """Return the record of a host with one target."""
     target = messages.TargetRecord(
         name=f"t{number}",
@@ -30,7 +30,7 @@
         slots=6,
         state=messages.TargetState.READY,
         tells_warmup=True,
-        usual_us=told_us,
+        usual_us=usual_us,
     )
     return messages.HostRecord(
         f"h{number}",
@@ -45,7 +45,7 @@
 
 
 def is_slow(number: int) -> bool:
-    """Tell whether a target is one of the third that is slow."""
+    """Tell whether a target belongs to the slow third."""
     return number % 3 == 2
 
 
@@ -54,15 +54,15 @@
     return SLOW_US if is_slow(number) else FAST_US
 
 
-def slow_share(told: bool) -> float:
-    """Return the part of a large fleet's requests that slow targets get.
+def slow_share(reported: bool) -> float:
+    """Return the share of a large fleet's requests that slow targets get.
 
     Args:
-        told: Whether records tell the targets' usual times.
+        reported: Whether the records contain the targets' processing times.
     """
     known = records.Records()
     for number in range(TARGETS):
-        known.put(record(number, time_us(number) if told else 0), 0)
+        known.put(record(number, time_us(number) if reported else 0), 0)
     endpoints = routing.Endpoints()
     endpoints.rebuild(known, None, 0)
     holding = endpoints.holding("s", "v1", "")
@@ -81,23 +81,23 @@
 
 
 def draw_us(rng: random.Random, mean_us: int) -> float:
-    """Return how long a request takes that has a mean time."""
+    """Draw the run time of a request from its mean, in microseconds."""
     sigma = math.sqrt(math.log(1 + SPREAD**2))
     return rng.lognormvariate(math.log(mean_us) - sigma**2 / 2, sigma)
 
 
-def test_a_large_fleet_finds_its_slow_targets() -> None:
-    """Each proxy sees a target about once in nine seconds.
+def test_a_large_fleet_avoids_its_slow_targets() -> None:
+    """Each proxy sends a request to a target about once in nine seconds.
 
-    A third of the targets take 2.3 times as long. Proxies that learn by
-    themselves send a tenth of their first sixty requests there, since each
-    of them has to try each near target; by the paces that are told, none.
+    A third of the targets take 2.3 times as long. Proxies that measure by
+    themselves send them a tenth of their first sixty requests, since each has
+    to try each near target; with reported processing times, none.
     """
-    assert slow_share(told=True) <= 0.01
-    assert slow_share(told=False) >= 0.08
+    assert slow_share(reported=True) <= 0.01
+    assert slow_share(reported=False) >= 0.08
 
 
-def test_a_pace_is_told_once_enough_was_seen_and_when_it_changes() -> None:
+def test_a_time_is_reported_with_enough_samples_and_on_change() -> None:
     processing_time = processing_times.ProcessingTime()
     for _ in range(processing_times.MIN_SAMPLES - 1):
         processing_time.add(100_000)
@@ -112,18 +112,19 @@
     assert processing_time.report() > 400_000
 
 
-def test_noise_is_not_told() -> None:
-    """Work spreads by 0.8 of its mean; each telling goes to all the fleet.
+def test_noise_is_not_reported() -> None:
+    """Each report goes to the whole fleet, so noise must not cause one.
 
-    36,000 requests are two minutes of a target with 300 a second; the first
-    tellings are its way to a mean.
+    Run times have a standard deviation of 0.8 of their mean. 36,000 requests
+    are two minutes of a target with 300 a second. The first reports come
+    while the mean settles.
     """
     rng = random.Random(1)
     processing_time = processing_times.ProcessingTime()
-    told = 0
+    reported = 0
     for _ in range(36_000):
         processing_time.add(draw_us(rng, FAST_US))
         if processing_time.should_report:
-            told += 1
+            reported += 1
             processing_time.report()
-    assert told <= 4
+    assert reported <= 4
--- a/libs/requests/tests/test_target_side.py
+++ b/libs/requests/tests/test_target_side.py
@@ -1,4 +1,4 @@
-"""The core before the targets of one host."""
+"""Tests of the request core for the targets of one host."""
 
 import random
 import statistics
@@ -23,12 +23,12 @@
 def target_record(
     state: int = messages.TargetState.READY, slots: int = 1
 ) -> messages.TargetRecord:
-    """Return what a target says of itself."""
+    """Return the announcement of a target."""
     return messages.TargetRecord(TARGET, "tables", "v1", [], slots, state)
 
 
 def make_request(number: int, **fields: typing.Any) -> messages.Request:
-    """Return a request that may wait in the queue."""
+    """Return a request that may be queued."""
     given: dict[str, typing.Any] = {
         "request_id": number,
         "route": "pay",
@@ -46,7 +46,7 @@
 
 
 class Harness:
-    """A core with one target of one slot, and what it asked for."""
+    """A core with one target that has one slot."""
 
     def __init__(self) -> None:
         self.core = target_side.TargetSide(
@@ -54,22 +54,22 @@
         )
         self.core.put_target(target_record(), PORT, 0)
 
-    def take(
+    def send(
         self, number: int, now_ms: int = 0, **fields: typing.Any
     ) -> list[typing.Any]:
-        """Hand in a request."""
+        """Pass a request to the core."""
         return self.core.on_request(
             "peer", make_request(number, **fields), now_ms
         )
 
     def drain(self, now_ms: int) -> list[typing.Any]:
-        """Let the target say that it leaves."""
+        """Let the target announce that it drains."""
         draining = target_record(messages.TargetState.DRAINING)
         return self.core.put_target(draining, PORT, now_ms)
 
 
 def not_run(emitted: list[typing.Any]) -> list[int]:
-    """Return the requests that were answered as not run."""
+    """Return the ids of requests that were answered as not run."""
     return [
         effect.answer.request_id
         for effect in emitted
@@ -78,7 +78,7 @@
 
 
 def dispatched(emitted: list[typing.Any]) -> list[int]:
-    """Return the requests that went to the target."""
+    """Return the ids of requests that were sent to the target."""
     return [
         effect.request.request_id
         for effect in emitted
@@ -87,12 +87,12 @@
 
 
 def drain_first(harness: Harness) -> list[typing.Any]:
-    """Let the target say that it drains."""
+    """Let the target drain before it leaves."""
     return harness.drain(10)
 
 
 def leave_without_drain(harness: Harness) -> list[typing.Any]:
-    """Let the target say farewell without a drain."""
+    """Let the target leave without a drain."""
     return harness.core.remove_target(TARGET, 10)
 
 
@@ -100,25 +100,25 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_a_leaving_target_gives_its_queue_back(
+def test_queued_requests_of_a_leaving_target_are_refused(
     leave: typing.Callable[[Harness], list[typing.Any]],
 ) -> None:
-    """A queued request reached a target seconds after it had left."""
+    """A queued request was sent to a target seconds after it had left."""
     harness = Harness()
-    assert dispatched(harness.take(1)) == [1]
-    harness.take(2)
+    assert dispatched(harness.send(1)) == [1]
+    harness.send(2)
     assert not_run(leave(harness)) == [2]
     done = messages.Answer(request_id=1, status=200, ran=True)
     assert dispatched(harness.core.on_target_answer(done, 100)) == []
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_a_leaving_target_gives_back_what_waits_for_its_body(
+def test_requests_without_bodies_at_a_leaving_target_are_refused(
     leave: typing.Callable[[Harness], list[typing.Any]],
 ) -> None:
     """An upload over a slow link ran 2.2 s after its target had left."""
     harness = Harness()
-    harness.take(1, body_bytes=BODY_BYTES)
+    harness.send(1, body_bytes=BODY_BYTES)
     assert not_run(leave(harness)) == [1]
     chunks = [
         messages.BodyPiece(1, offset, bytes(8192))
@@ -128,39 +128,39 @@
     assert dispatched(sum(late, [])) == []
 
 
-def test_the_targets_of_an_evacuated_domain_get_nothing_more() -> None:
-    """Their own proxy sent on what had queued before the evacuation."""
+def test_the_targets_of_an_evacuated_domain_get_no_requests() -> None:
+    """Their own proxy still sent them requests queued before it."""
     harness = Harness()
-    harness.take(1)
-    harness.take(2)
+    harness.send(1)
+    harness.send(2)
     assert not_run(harness.core.evacuate(True, 10)) == [2]
-    assert not_run(harness.take(3, 20)) == [3]
+    assert not_run(harness.send(3, 20)) == [3]
     done = messages.Answer(request_id=1, status=200, ran=True)
     assert dispatched(harness.core.on_target_answer(done, 100)) == []
 
 
-def test_a_domain_that_is_taken_back_gets_requests_again() -> None:
+def test_a_restored_domain_gets_requests_again() -> None:
     harness = Harness()
     harness.core.evacuate(True, 0)
     harness.core.evacuate(False, 10)
-    assert dispatched(harness.take(1, 20)) == [1]
+    assert dispatched(harness.send(1, 20)) == [1]
 
 
-def test_what_runs_at_a_leaving_target_goes_on() -> None:
-    """A drain must not cut what is in flight."""
+def test_running_requests_of_a_leaving_target_are_completed() -> None:
+    """A drain must not interrupt running requests."""
     harness = Harness()
-    harness.take(1)
+    harness.send(1)
     assert harness.drain(10) == []
     done = messages.Answer(request_id=1, status=200, ran=True)
     emitted = harness.core.on_target_answer(done, 100)
     assert [type(effect) for effect in emitted] == [effects.Reply]
 
 
-def test_a_renewed_draining_word_gives_nothing_back_twice() -> None:
-    """Each renewal of a draining target told its callers once more."""
+def test_a_renewed_drain_refuses_no_request_twice() -> None:
+    """Each renewed announcement refused the same requests once more."""
     harness = Harness()
-    harness.take(1)
-    harness.take(2)
+    harness.send(1)
+    harness.send(2)
     assert not_run(harness.drain(10)) == [2]
     assert not_run(harness.drain(1000)) == []
 
@@ -169,22 +169,22 @@
 
 
 def cold_harness(left_ms: int = 3000, slots: int = 100) -> Harness:
-    """Return a core whose target is cold and has slots to spare."""
+    """Return a core whose target is cold and has free slots."""
     harness = Harness()
     harness.core.set_cold_limits({"tables": LIMIT})
     harness.core.put_target(target_record(slots=slots), PORT, 0, left_ms)
     return harness
 
 
-def test_a_cold_target_gets_no_more_than_it_bears() -> None:
-    """With free slots it got 18 requests in a second, crashed, came back.
+def test_a_cold_target_gets_at_most_its_rate_limit() -> None:
+    """With free slots it got 18 requests in a second and crashed repeatedly.
 
-    Two hundred callers want it in its first two seconds.
+    Two hundred callers send it requests in its first two seconds.
     """
     harness = cold_harness()
     begun_ms = []
     for now_ms in range(0, 2000, 10):
-        emitted = harness.take(now_ms + 1, now_ms) + harness.core.tick(now_ms)
+        emitted = harness.send(now_ms + 1, now_ms) + harness.core.tick(now_ms)
         begun_ms += [now_ms] * len(dispatched(emitted))
     assert all(
         sum(since_ms <= at_ms < since_ms + 1000 for at_ms in begun_ms) <= 17
@@ -193,15 +193,15 @@
     assert len(begun_ms) >= 19
 
 
-def test_a_warm_target_gets_what_it_has_slots_for() -> None:
+def test_a_warm_target_is_limited_only_by_its_slots() -> None:
     harness = cold_harness(left_ms=0)
     assert (
-        len(sum([dispatched(harness.take(n)) for n in range(1, 50)], [])) == 49
+        len(sum([dispatched(harness.send(n)) for n in range(1, 50)], [])) == 49
     )
 
 
-def test_a_cold_target_is_told_to_all_with_its_rate() -> None:
-    """Sent there as to a warm one, calls were refused one after the other."""
+def test_a_cold_target_is_advertised_with_its_rate() -> None:
+    """Proxies that took it for warm sent it calls that it then refused."""
     harness = cold_harness()
     record = harness.core.advertised_record(TARGET, 0)
     assert record.state == messages.TargetState.COLD
@@ -214,24 +214,24 @@
     )
 
 
-def test_a_domain_that_is_taken_back_is_cold_until_it_tells() -> None:
-    """Its targets turned cold shortly before, and no renewal said so yet."""
+def test_targets_of_a_restored_domain_are_cold_until_checked() -> None:
+    """Its targets became cold just before and have not announced it yet."""
     harness = cold_harness(left_ms=0)
     harness.core.evacuate(True, 0)
     emitted = harness.core.evacuate(False, 10)
     assert emitted == [effects.CheckWarmup(TARGET, PORT, "tables")]
-    assert dispatched(harness.take(1, 20)) == []
+    assert dispatched(harness.send(1, 20)) == []
     harness.core.on_warmup(TARGET, 0, 30)
     assert dispatched(harness.core.tick(50)) == [1]
 
 
-def test_an_old_word_that_it_is_warm_does_not_count() -> None:
-    """The renewal was sent before the target turned cold."""
+def test_an_outdated_announcement_as_warm_is_ignored() -> None:
+    """The announcement was sent before the target became cold."""
     harness = cold_harness(left_ms=0)
     harness.core.evacuate(True, 0)
     harness.core.evacuate(False, 10)
     harness.core.put_target(target_record(slots=100), PORT, 20, 0)
-    assert dispatched(harness.take(1, 30)) == []
+    assert dispatched(harness.send(1, 30)) == []
     harness.core.put_target(target_record(slots=100), PORT, 40, 2500)
     assert (
         harness.core.advertised_record(TARGET, 2000).state
@@ -239,7 +239,7 @@
     )
 
 
-def test_without_an_answer_a_target_is_cold_for_as_long_as_it_can_be() -> None:
+def test_an_unchecked_target_is_cold_for_its_longest_warm_up() -> None:
     harness = cold_harness(left_ms=0)
     harness.core.evacuate(True, 0)
     harness.core.evacuate(False, 0)
@@ -253,38 +253,38 @@
     )
 
 
-def test_a_body_on_its_way_holds_no_slot() -> None:
-    """A target stood idle while its slots were kept for bodies."""
+def test_an_incomplete_body_holds_no_slot() -> None:
+    """A target was idle while its slots were reserved for bodies."""
     harness = Harness()
-    harness.take(1, body_bytes=BODY_BYTES)
-    assert dispatched(harness.take(2)) == [2]
+    harness.send(1, body_bytes=BODY_BYTES)
+    assert dispatched(harness.send(2)) == [2]
 
 
-def test_an_upload_that_may_go_elsewhere_waits_for_no_busy_link() -> None:
-    """Uploads queued at one link and came late, while others were free."""
+def test_a_movable_upload_does_not_wait_for_a_busy_link() -> None:
+    """Uploads queued at one link and were late while others were free."""
     harness = Harness()
     harness.core.put_target(target_record(slots=20), PORT, 0)
-    harness.take(1, body_bytes=BODY_BYTES)
-    movable = harness.take(2, body_bytes=BODY_BYTES, settled=False)
+    harness.send(1, body_bytes=BODY_BYTES)
+    movable = harness.send(2, body_bytes=BODY_BYTES, settled=False)
     assert not_run(movable) == [2]
-    assert not_run(harness.take(3, body_bytes=BODY_BYTES)) == []
+    assert not_run(harness.send(3, body_bytes=BODY_BYTES)) == []
 
 
-def test_an_upload_that_may_go_elsewhere_waits_for_no_slot() -> None:
+def test_a_movable_upload_does_not_wait_for_a_slot() -> None:
     """Uploads queued at full targets while others had free slots."""
     harness = Harness()
-    harness.take(1)
-    movable = harness.take(2, body_bytes=BODY_BYTES, settled=False)
+    harness.send(1)
+    movable = harness.send(2, body_bytes=BODY_BYTES, settled=False)
     assert not_run(movable) == [2]
-    assert not_run(harness.take(3, body_bytes=BODY_BYTES)) == []
+    assert not_run(harness.send(3, body_bytes=BODY_BYTES)) == []
 
 
-def test_an_upload_may_run_at_once_where_it_is_likely_in_time() -> None:
-    """No target was sure enough, and uploads went from one to the next."""
+def test_a_movable_upload_runs_where_a_mean_run_is_in_time() -> None:
+    """No target met the safe run time, so each refused the upload in turn."""
     harness = Harness()
     slots = harness.core.targets[TARGET].slots
     slots.routes["pay"] = admission.RunTime(mean_ms=100.0, deviation_ms=100.0)
-    movable = harness.take(1, body_bytes=BODY_BYTES, settled=False, aim_ms=200)
+    movable = harness.send(1, body_bytes=BODY_BYTES, settled=False, aim_ms=200)
     assert not_run(movable) == []
 
 
@@ -297,7 +297,7 @@
     """Uploads to a target of twenty slots, over a link of 5.5 Mbit/s.
 
     Args:
-        each_ms: How often one comes.
+        each_ms: Interval between uploads.
     """
 
     def __init__(self, each_ms: int) -> None:
@@ -313,11 +313,11 @@
 
     @property
     def refused(self) -> set[int]:
-        """Return those that were told to be not run."""
+        """Return the numbers of uploads that were refused."""
         return set(self.refused_ms)
 
     def run(self, lasts_ms: int, then_ms: int = 0) -> typing.Self:
-        """Let uploads come for a while, and time pass after it."""
+        """Send uploads for ``lasts_ms``, then wait for ``then_ms``."""
         for now_ms in range(0, lasts_ms + then_ms, STEP_MS):
             if now_ms < lasts_ms and now_ms % self.each_ms == 0:
                 number = len(self.came_ms) + 1
@@ -329,8 +329,8 @@
         return self
 
     def upload(self, number: int, now_ms: int) -> list[typing.Any]:
-        """Hand one in."""
-        return self.harness.take(
+        """Pass an upload to the core."""
+        return self.harness.send(
             number,
             now_ms,
             body_bytes=BODY_BYTES,
@@ -339,7 +339,7 @@
         )
 
     def deliver(self, now_ms: int) -> None:
-        """Bring as much of the bodies as the link carries."""
+        """Deliver as many chunks as the link has transferred."""
         while (
             self.requested_chunks
             and self.budget_bytes >= self.requested_chunks[0].length
@@ -354,7 +354,7 @@
             self.budget_bytes = 0.0
 
     def note(self, emitted: list[typing.Any], now_ms: int) -> None:
-        """Take what became of them."""
+        """Record the effects of the core on the uploads."""
         self.requested_chunks += [
             e.pull for e in emitted if isinstance(e, bodies.ChunkRequest)
         ]
@@ -366,19 +366,19 @@
             self.harness.core.on_target_answer(done, now_ms)
 
 
-def test_bodies_are_let_in_that_can_be_in_time() -> None:
-    """In a long overload all that may wait was queued, and all was late."""
+def test_bodies_that_can_be_in_time_are_served() -> None:
+    """In a long overload all uploads that may wait were queued and late."""
     uploads = Uploads(each_ms=40).run(12_000)
     after = [n for n, at_ms in uploads.came_ms.items() if at_ms >= LONG_MS]
     served = [uploads.took_ms[n] for n in after if n in uploads.took_ms]
     assert max(served) <= 800
-    # The link carries one each 87 ms.
+    # The link transfers one body in 87 ms.
     assert len(served) >= 0.9 * (12_000 - LONG_MS) / 87
     assert len(served) + len(uploads.refused) >= 0.9 * len(after)
 
 
-def test_bodies_that_cannot_come_are_refused_at_once() -> None:
-    """Their callers waited for a second to hear that they can't be served."""
+def test_bodies_that_would_be_late_are_refused_at_once() -> None:
+    """Callers waited for a second before their requests were refused."""
     uploads = Uploads(each_ms=40).run(12_000)
     waits_ms = [
         uploads.refused_ms[number] - uploads.came_ms[number]
@@ -388,15 +388,15 @@
     assert statistics.median(waits_ms) == 0
 
 
-def test_late_bodies_of_a_short_burst_come_after_all() -> None:
-    """Twenty at once; their callers wait for longer than that takes."""
+def test_late_bodies_of_a_short_burst_are_served() -> None:
+    """Of twenty bodies at once all are served before their deadlines."""
     uploads = Uploads(each_ms=20).run(400, then_ms=2500)
     assert len(uploads.took_ms) == 20
     assert not uploads.refused
 
 
-def test_late_bodies_are_given_up_while_their_callers_can_come_back() -> None:
-    """Bodies that all others went before were kept until their deadline."""
+def test_deferred_bodies_are_refused_while_callers_can_retry() -> None:
+    """Deferred bodies were kept until their callers' deadlines."""
     uploads = Uploads(each_ms=40).run(6000)
     waits_ms = [
         uploads.refused_ms[number] - uploads.came_ms[number]
