--- a/libs/requests/src/trefoil_requests/bodies.py
+++ b/libs/requests/src/trefoil_requests/bodies.py
@@ -110,8 +110,8 @@
     Args:
         body_ms: Time until its body is complete if it comes after the bodies
             that can be in time.
-        last_ms: Time until its body is complete if it comes after all other
-            bodies, those that arrive meanwhile included.
+        deferred_ms: Time until its body is complete if it comes after all
+            other bodies, including those that arrive meanwhile.
         slot_ms: Time until a slot is free for it.
         run_ms: Mean run time of such requests.
         safe_run_ms: Time within which most such requests end.
@@ -120,7 +120,7 @@
     """
 
     body_ms: float
-    last_ms: float
+    deferred_ms: float
     slot_ms: float
     run_ms: float
     safe_run_ms: float
@@ -142,7 +142,7 @@
     @property
     def meets_deadline(self) -> bool:
         """Tell whether it is answered before its deadline, even if late."""
-        starts_ms = max(self.last_ms, self.slot_ms)
+        starts_ms = max(self.deferred_ms, self.slot_ms)
         return starts_ms + self.run_ms <= self.deadline_ms
 
 
@@ -250,7 +250,7 @@
         )
         return int((ahead + size) / self.bytes_per_ms)
 
-    def expected_last_ms(self, size: int = 0) -> int:
+    def expected_deferred_ms(self, size: int = 0) -> int:
         """Return the expected time until a body after all others is complete.
 
         Bodies that arrive meanwhile and can be in time go before it, so it
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -236,11 +236,11 @@
             self.sync_interval_ms = SYNC_INTERVAL_MS
 
     def _other_hosts(self) -> set[str]:
-        found: set[str] = set()
+        hosts_to_ask: set[str] = set()
         for hosts in self.sets.hosts.values():
-            found |= hosts
-        found.discard(self.me)
-        return found
+            hosts_to_ask |= hosts
+        hosts_to_ask.discard(self.me)
+        return hosts_to_ask
 
     def pull(
         self, pull: messages.LedgerPull, now_ms: int
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -456,7 +456,7 @@
 
     def _link_free_in_ms(self) -> int:
         """Return the expected time until the link is idle."""
-        return max(self.incoming_bodies.expected_last_ms(), MIN_RETRY_MS)
+        return max(self.incoming_bodies.expected_deferred_ms(), MIN_RETRY_MS)
 
     def _estimate(
         self, tracked: TrackedRequest, now_ms: int
@@ -467,7 +467,7 @@
         run_time = slots.run_time(request.route)
         return bodies.BodyEstimate(
             body_ms=self.incoming_bodies.expected_ms(now_ms, size),
-            last_ms=self.incoming_bodies.expected_last_ms(size),
+            deferred_ms=self.incoming_bodies.expected_deferred_ms(size),
             slot_ms=slots.expected_wait_ms(_queued_request(tracked), now_ms),
             run_ms=run_time.mean_ms,
             safe_run_ms=run_time.safe_ms,
@@ -698,7 +698,7 @@
         run_time = self.targets[tracked.target].slots.run_time(tracked.route)
         starts_ms = now_ms
         if self.incoming_bodies.is_deferred(request_id, now_ms):
-            starts_ms += self.incoming_bodies.expected_last_ms()
+            starts_ms += self.incoming_bodies.expected_deferred_ms()
         ends_ms = starts_ms + max(run_time.mean_ms, admission.REPLY_MS)
         return ends_ms > tracked.deadline_at_ms
 
--- a/libs/requests/tests/test_admission.py
+++ b/libs/requests/tests/test_admission.py
@@ -7,21 +7,21 @@
 
 from trefoil_requests import admission
 
-FAR_MS = 10_000
+DISTANT_MS = 10_000
 
 
 def test_free_slots_admit() -> None:
     controller = admission.AdmissionController(2)
     assert (
-        controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
+        controller.offer(admission.QueuedRequest(1, DISTANT_MS), 0)
         == admission.Admitted()
     )
     assert (
-        controller.offer(admission.QueuedRequest(2, FAR_MS), 0)
+        controller.offer(admission.QueuedRequest(2, DISTANT_MS), 0)
         == admission.Admitted()
     )
     assert (
-        controller.offer(admission.QueuedRequest(3, FAR_MS), 0)
+        controller.offer(admission.QueuedRequest(3, DISTANT_MS), 0)
         == admission.Queued()
     )
     controller.finished(10)
@@ -32,8 +32,8 @@
     """The expected wait in the queue exceeds the request's deadline."""
     controller = admission.AdmissionController(1)
     controller.service_ms = 100
-    controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
-    controller.offer(admission.QueuedRequest(2, FAR_MS), 0)
+    controller.offer(admission.QueuedRequest(1, DISTANT_MS), 0)
+    controller.offer(admission.QueuedRequest(2, DISTANT_MS), 0)
     decision = controller.offer(admission.QueuedRequest(3, 150), 0)
     assert isinstance(decision, admission.Refused)
     assert decision.retry_after_ms >= 100
@@ -42,7 +42,7 @@
 def test_the_queue_is_bounded() -> None:
     controller = admission.AdmissionController(2)
     decisions = [
-        controller.offer(admission.QueuedRequest(n, FAR_MS), 0)
+        controller.offer(admission.QueuedRequest(n, DISTANT_MS), 0)
         for n in range(20)
     ]
     refused = [d for d in decisions if isinstance(d, admission.Refused)]
@@ -63,7 +63,7 @@
     """
     controller = admission.AdmissionController(1)
     controller.service_ms = usual_ms
-    controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
+    controller.offer(admission.QueuedRequest(1, DISTANT_MS), 0)
     controller.offer(admission.QueuedRequest(2, 200), 0)
     assert controller.expired(kept_ms) == []
     assert controller.expired(given_up_ms) == [2]
@@ -169,13 +169,13 @@
 
 def test_an_urgent_request_evicts_a_less_urgent_one() -> None:
     controller = admission.AdmissionController(1)
-    controller.offer(admission.QueuedRequest(1, FAR_MS), 0)
+    controller.offer(admission.QueuedRequest(1, DISTANT_MS), 0)
     for number in range(2, 2 + admission.QUEUE_PER_SLOT):
         controller.offer(
-            admission.QueuedRequest(number, FAR_MS, priority=2), 0
+            admission.QueuedRequest(number, DISTANT_MS, priority=2), 0
         )
     decision = controller.offer(
-        admission.QueuedRequest(99, FAR_MS, priority=0), 0
+        admission.QueuedRequest(99, DISTANT_MS, priority=0), 0
     )
     assert isinstance(decision, admission.Queued)
     assert decision.evicted
@@ -187,12 +187,12 @@
     controller = admission.AdmissionController(1)
     assert (
         controller.offer(
-            admission.QueuedRequest(1, FAR_MS), 0, may_queue=False
+            admission.QueuedRequest(1, DISTANT_MS), 0, may_queue=False
         )
         == admission.Admitted()
     )
     decision = controller.offer(
-        admission.QueuedRequest(2, FAR_MS), 0, may_queue=False
+        admission.QueuedRequest(2, DISTANT_MS), 0, may_queue=False
     )
     assert isinstance(decision, admission.Refused)
     assert controller.load == 1
--- a/libs/requests/tests/test_bodies.py
+++ b/libs/requests/tests/test_bodies.py
@@ -74,17 +74,19 @@
         chunk_requests = self.incoming_bodies.add(
             number, origin, BODY_BYTES, now_ms + 1000, now_ms
         )
-        self.ask(chunk_requests)
+        self.request_chunks(chunk_requests)
 
-    def ask(self, chunk_requests: list[bodies.ChunkRequest]) -> None:
+    def request_chunks(
+        self, chunk_requests: list[bodies.ChunkRequest]
+    ) -> None:
         """Send chunk requests to the senders, and their chunks back."""
-        for ask in chunk_requests:
+        for request in chunk_requests:
             self.at(
                 self.now_ms + PROPAGATION_MS,
-                lambda pull=ask.pull: self.answer(pull),
+                lambda pull=request.pull: self.send_chunk(pull),
             )
 
-    def answer(self, pull: messages.BodyPull) -> None:
+    def send_chunk(self, pull: messages.BodyPull) -> None:
         """Send a chunk."""
         chunk = messages.BodyPiece(
             pull.request_id, pull.offset, bytes(pull.length)
@@ -100,7 +102,7 @@
             assert len(complete) == BODY_BYTES
             took_ms = self.now_ms - self.sent_ms[chunk.request_id]
             self.upload_times_ms.append(took_ms)
-        self.ask(chunk_requests)
+        self.request_chunks(chunk_requests)
 
     def run(
         self, upload: typing.Callable[[], None], lasts_ms: int = 20_000
@@ -154,7 +156,7 @@
     rest = messages.BodyPiece(1, 16_384, bytes(3616))
     complete, chunk_requests = incoming.receive(rest, 20)
     assert len(complete) == 20_000
-    assert {ask.origin for ask in chunk_requests} == {"c"}
+    assert {request.origin for request in chunk_requests} == {"c"}
 
 
 def test_a_stalled_sender_does_not_block_others() -> None:
@@ -163,10 +165,14 @@
     incoming.add(1, "a", 30_000, 500, 0)
     incoming.add(2, "b", 30_000, 900, 0)
     assert incoming.tick(bodies.MIN_SLOW_MS - 1) == []
-    assert {ask.origin for ask in incoming.tick(bodies.MIN_SLOW_MS)} == {"b"}
+    assert {
+        request.origin for request in incoming.tick(bodies.MIN_SLOW_MS)
+    } == {"b"}
     assert incoming.tick(bodies.STALL_TIMEOUT_MS) == []
     chunk_requests = incoming.remove(2, 400)
-    assert [(ask.origin, ask.pull.offset) for ask in chunk_requests] == [
+    assert [
+        (request.origin, request.pull.offset) for request in chunk_requests
+    ] == [
         ("a", 0),
         ("a", 8192),
     ]
@@ -180,7 +186,10 @@
     incoming.tick(bodies.STALL_TIMEOUT_MS)
     incoming.receive(messages.BodyPiece(1, 0, bytes(8192)), 350)
     chunk_requests = incoming.remove(2, 400)
-    assert [ask.pull.offset for ask in chunk_requests] == [8192, 16_384]
+    assert [request.pull.offset for request in chunk_requests] == [
+        8192,
+        16_384,
+    ]
 
 
 def deliver_chunk(
@@ -199,13 +208,25 @@
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     for number, origin in enumerate("abcde"):
         incoming.add(number, origin, BODY_BYTES, 800 + number, 0)
-    assert {ask.origin for ask in deliver_chunk(incoming, 0, 12)} == {"a"}
-    assert {ask.origin for ask in deliver_chunk(incoming, 0, 132)} == {"b"}
-    assert {ask.origin for ask in deliver_chunk(incoming, 0, 252)} == {"a"}
-    assert {ask.origin for ask in deliver_chunk(incoming, 1, 264)} == {"c"}
-    assert {ask.origin for ask in deliver_chunk(incoming, 1, 396)} == {"b"}
+    assert {request.origin for request in deliver_chunk(incoming, 0, 12)} == {
+        "a"
+    }
+    assert {request.origin for request in deliver_chunk(incoming, 0, 132)} == {
+        "b"
+    }
+    assert {request.origin for request in deliver_chunk(incoming, 0, 252)} == {
+        "a"
+    }
+    assert {request.origin for request in deliver_chunk(incoming, 1, 264)} == {
+        "c"
+    }
+    assert {request.origin for request in deliver_chunk(incoming, 1, 396)} == {
+        "b"
+    }
     assert deliver_chunk(incoming, 2, 408) == []
-    assert {ask.origin for ask in deliver_chunk(incoming, 2, 420)} == {"c"}
+    assert {request.origin for request in deliver_chunk(incoming, 2, 420)} == {
+        "c"
+    }
 
 
 def test_a_slow_sender_is_not_taken_for_a_slow_link() -> None:
@@ -266,7 +287,7 @@
     """Return the estimate of a body that is sent at once to a free target."""
     given = {
         "body_ms": 90.0,
-        "last_ms": 90.0,
+        "deferred_ms": 90.0,
         "slot_ms": 0.0,
         "run_ms": 140.0,
         "safe_run_ms": 300.0,
@@ -284,7 +305,7 @@
         ({"body_ms": 501.0}, False),
         ({"slot_ms": 501.0}, False),
         ({"body_ms": 400.0, "slot_ms": 400.0}, True),
-        ({"last_ms": 60_000.0}, True),
+        ({"deferred_ms": 60_000.0}, True),
         ({"latency_target_ms": 389.0}, False),
     ],
 )
@@ -296,19 +317,19 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "welcome"),
+    ("fields", "answered"),
     [
         ({"latency_target_ms": 1.0}, True),
-        ({"latency_target_ms": 1.0, "last_ms": 2860.0}, True),
-        ({"latency_target_ms": 1.0, "last_ms": 2861.0}, False),
+        ({"latency_target_ms": 1.0, "deferred_ms": 2860.0}, True),
+        ({"latency_target_ms": 1.0, "deferred_ms": 2861.0}, False),
         ({"latency_target_ms": 1.0, "slot_ms": 2861.0}, False),
     ],
 )
 def test_estimates_that_meet_the_deadline(
-    fields: dict[str, float], welcome: bool
+    fields: dict[str, float], answered: bool
 ) -> None:
     """A late answer is worth less than one in time but more than none."""
-    assert estimate(**fields).meets_deadline == welcome
+    assert estimate(**fields).meets_deadline == answered
 
 
 def test_late_bodies_are_transferred_after_those_in_time() -> None:
@@ -319,12 +340,12 @@
     incoming.add(2, "late", 20_000, 20, 1)
     incoming.add(3, "b", 20_000, 700, 2)
     assert incoming.expected_ms(2) == 41
-    assert incoming.expected_last_ms() == 70
+    assert incoming.expected_deferred_ms() == 70
     complete, chunk_requests = incoming.receive(
         messages.BodyPiece(1, 0, bytes(8192)), 12
     )
     assert complete is not None
-    assert {ask.origin for ask in chunk_requests} == {"b"}
+    assert {request.origin for request in chunk_requests} == {"b"}
 
 
 @pytest.mark.parametrize(
@@ -341,7 +362,7 @@
     for now_ms in range(0, taken_ms + 1, 20):
         incoming.tick(now_ms)
     incoming.remove(1, taken_ms)
-    assert least_ms <= incoming.expected_last_ms(BODY_BYTES) <= most_ms
+    assert least_ms <= incoming.expected_deferred_ms(BODY_BYTES) <= most_ms
 
 
 def test_late_bodies_do_not_make_the_link_busy() -> None:
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -54,9 +54,9 @@
     hosts: list[str], verdict: int
 ) -> None:
     ledger = make_ledger()
-    asked = claim(1)
-    asked.keepers = hosts
-    assert ledger.claim(asked, 0).verdict == verdict
+    request = claim(1)
+    request.keepers = hosts
+    assert ledger.claim(request, 0).verdict == verdict
 
 
 def test_a_host_that_left_recently_stays_in_the_ranking() -> None:
@@ -112,7 +112,7 @@
 def test_records_from_one_host_show_that_keys_are_in_use() -> None:
     """A replica that restarts where keys are in use asks all hosts."""
     ledger = fleet_ledger(200)
-    asked = ledger.tick(0, True)
+    asked_hosts = ledger.tick(0, True)
     entry = messages.LedgerEntry(7, 1, 2, 100, None)
-    ledger.push(messages.LedgerPush(asked[0], [entry], True), 10)
+    ledger.push(messages.LedgerPush(asked_hosts[0], [entry], True), 10)
     assert len(ledger.tick(50, True)) == 198
--- a/libs/requests/tests/test_target_side.py
+++ b/libs/requests/tests/test_target_side.py
@@ -16,7 +16,7 @@
 
 TARGET = "t1"
 PORT = 8080
-FAR_MS = 10_000
+DISTANT_MS = 10_000
 BODY_BYTES = 60_000
 
 
@@ -36,7 +36,7 @@
         "path": "/pay",
         "headers": b"",
         "body": b"",
-        "deadline_ms": FAR_MS,
+        "deadline_ms": DISTANT_MS,
         "target": TARGET,
         "fingerprint": number,
         "version": "v1",
@@ -290,24 +290,24 @@
 
 LINK_BYTES_PER_MS = 687.5
 STEP_MS = 20
-LONG_MS = 3000
+OVERLOAD_MS = 3000
 
 
 class Uploads:
     """Uploads to a target of twenty slots, over a link of 5.5 Mbit/s.
 
     Args:
-        each_ms: Interval between uploads.
+        interval_ms: Interval between uploads.
     """
 
-    def __init__(self, each_ms: int) -> None:
-        self.each_ms = each_ms
+    def __init__(self, interval_ms: int) -> None:
+        self.interval_ms = interval_ms
         self.harness = Harness()
         self.harness.core.put_target(target_record(slots=20), PORT, 0)
         self.harness.core.incoming_bodies.bytes_per_ms = LINK_BYTES_PER_MS
         self.requested_chunks: list[messages.BodyPull] = []
         self.budget_bytes = 0.0
-        self.came_ms: dict[int, int] = {}
+        self.submitted_ms: dict[int, int] = {}
         self.refused_ms: dict[int, int] = {}
         self.took_ms: dict[int, int] = {}
 
@@ -319,13 +319,13 @@
     def run(self, lasts_ms: int, then_ms: int = 0) -> typing.Self:
         """Send uploads for ``lasts_ms``, then wait for ``then_ms``."""
         for now_ms in range(0, lasts_ms + then_ms, STEP_MS):
-            if now_ms < lasts_ms and now_ms % self.each_ms == 0:
-                number = len(self.came_ms) + 1
-                self.came_ms[number] = now_ms
-                self.note(self.upload(number, now_ms), now_ms)
+            if now_ms < lasts_ms and now_ms % self.interval_ms == 0:
+                number = len(self.submitted_ms) + 1
+                self.submitted_ms[number] = now_ms
+                self.record(self.upload(number, now_ms), now_ms)
             self.budget_bytes += STEP_MS * LINK_BYTES_PER_MS
             self.deliver(now_ms)
-            self.note(self.harness.core.tick(now_ms), now_ms)
+            self.record(self.harness.core.tick(now_ms), now_ms)
         return self
 
     def upload(self, number: int, now_ms: int) -> list[typing.Any]:
@@ -349,11 +349,11 @@
             chunk = messages.BodyPiece(
                 pull.request_id, pull.offset, bytes(pull.length)
             )
-            self.note(self.harness.core.on_body_chunk(chunk, now_ms), now_ms)
+            self.record(self.harness.core.on_body_chunk(chunk, now_ms), now_ms)
         if not self.requested_chunks:
             self.budget_bytes = 0.0
 
-    def note(self, emitted: list[typing.Any], now_ms: int) -> None:
+    def record(self, emitted: list[typing.Any], now_ms: int) -> None:
         """Record the effects of the core on the uploads."""
         self.requested_chunks += [
             e.pull for e in emitted if isinstance(e, bodies.ChunkRequest)
@@ -361,45 +361,47 @@
         for number in not_run(emitted):
             self.refused_ms[number] = now_ms
         for number in dispatched(emitted):
-            self.took_ms[number] = now_ms - self.came_ms[number]
+            self.took_ms[number] = now_ms - self.submitted_ms[number]
             done = messages.Answer(request_id=number, status=200, ran=True)
             self.harness.core.on_target_answer(done, now_ms)
 
 
 def test_bodies_that_can_be_in_time_are_served() -> None:
     """In a long overload all uploads that may wait were queued and late."""
-    uploads = Uploads(each_ms=40).run(12_000)
-    after = [n for n, at_ms in uploads.came_ms.items() if at_ms >= LONG_MS]
+    uploads = Uploads(interval_ms=40).run(12_000)
+    after = [
+        n for n, at_ms in uploads.submitted_ms.items() if at_ms >= OVERLOAD_MS
+    ]
     served = [uploads.took_ms[n] for n in after if n in uploads.took_ms]
     assert max(served) <= 800
     # The link transfers one body in 87 ms.
-    assert len(served) >= 0.9 * (12_000 - LONG_MS) / 87
+    assert len(served) >= 0.9 * (12_000 - OVERLOAD_MS) / 87
     assert len(served) + len(uploads.refused) >= 0.9 * len(after)
 
 
 def test_bodies_that_would_be_late_are_refused_at_once() -> None:
     """Callers waited for a second before their requests were refused."""
-    uploads = Uploads(each_ms=40).run(12_000)
+    uploads = Uploads(interval_ms=40).run(12_000)
     waits_ms = [
-        uploads.refused_ms[number] - uploads.came_ms[number]
+        uploads.refused_ms[number] - uploads.submitted_ms[number]
         for number in uploads.refused
-        if uploads.came_ms[number] >= LONG_MS
+        if uploads.submitted_ms[number] >= OVERLOAD_MS
     ]
     assert statistics.median(waits_ms) == 0
 
 
 def test_late_bodies_of_a_short_burst_are_served() -> None:
     """Of twenty bodies at once all are served before their deadlines."""
-    uploads = Uploads(each_ms=20).run(400, then_ms=2500)
+    uploads = Uploads(interval_ms=20).run(400, then_ms=2500)
     assert len(uploads.took_ms) == 20
     assert not uploads.refused
 
 
 def test_deferred_bodies_are_refused_while_callers_can_retry() -> None:
     """Deferred bodies were kept until their callers' deadlines."""
-    uploads = Uploads(each_ms=40).run(6000)
+    uploads = Uploads(interval_ms=40).run(6000)
     waits_ms = [
-        uploads.refused_ms[number] - uploads.came_ms[number]
+        uploads.refused_ms[number] - uploads.submitted_ms[number]
         for number in uploads.refused
     ]
     assert max(waits_ms) <= 1600
