--- a/libs/requests/src/trefoil_requests/admission.py
+++ b/libs/requests/src/trefoil_requests/admission.py
@@ -12,8 +12,8 @@
 
 from . import warmup as warmups
 
-# Weight of one run in the moving means, which so follow the last ten runs or
-# so: a target that slows down is detected within a second.
+# Weight of one run in the moving means. They follow about the last ten runs,
+# so a target that slows down is detected within a second.
 SAMPLE_WEIGHT = 0.1
 # Estimate before the first run, short enough that no request is refused for
 # its expected wait.
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -91,7 +91,7 @@
     """A request that is queued at or running on a local target.
 
     Args:
-        origin: The proxy that gets the reply.
+        origin: Address of the entry proxy, which gets the reply.
         request: The request.
         target: Name of its target.
         received_ms: When it was received.
--- a/libs/requests/tests/test_admission.py
+++ b/libs/requests/tests/test_admission.py
@@ -11,6 +11,7 @@
 
 
 def test_free_slots_admit() -> None:
+    """A request is queued only while no slot is free."""
     controller = admission.AdmissionController(2)
     assert (
         controller.offer(admission.QueuedRequest(1, DISTANT_MS), 0)
@@ -40,6 +41,7 @@
 
 
 def test_the_queue_is_bounded() -> None:
+    """An unbounded queue would only hold requests that end late."""
     controller = admission.AdmissionController(2)
     decisions = [
         controller.offer(admission.QueuedRequest(n, DISTANT_MS), 0)
@@ -168,6 +170,7 @@
 
 
 def test_an_urgent_request_evicts_a_less_urgent_one() -> None:
+    """A full queue must not shut out requests of a higher priority."""
     controller = admission.AdmissionController(1)
     controller.offer(admission.QueuedRequest(1, DISTANT_MS), 0)
     for number in range(2, 2 + admission.QUEUE_PER_SLOT):
@@ -184,6 +187,7 @@
 
 
 def test_a_request_that_may_not_queue_is_refused() -> None:
+    """Its entry proxy can still send it to a target with a free slot."""
     controller = admission.AdmissionController(1)
     assert (
         controller.offer(
--- a/libs/requests/tests/test_bodies.py
+++ b/libs/requests/tests/test_bodies.py
@@ -145,6 +145,7 @@
 
 
 def test_the_body_that_is_due_first_is_transferred_first() -> None:
+    """The active body is completed; the next is chosen by its due time."""
     incoming = bodies.IncomingBodies()
     first, second = incoming.add(1, "a", 20_000, 900, 0)
     assert (first.pull.offset, second.pull.offset) == (0, 8192)
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -7,12 +7,14 @@
 
 
 def make_ledger() -> ledgers.Ledger:
+    """Return the ledger of the host h1, one of three replicas."""
     ledger = ledgers.Ledger("h1", 1, 0, 0)
     ledger.sets.update({"s": ["h1", "h2", "h3"]}, 0)
     return ledger
 
 
 def claim(key: int, claim_id: int = 1) -> messages.Claim:
+    """Return a claim of a key issued after the start of the ledger."""
     return messages.Claim(
         claim_id,
         key,
@@ -35,6 +37,7 @@
 
 
 def test_old_answers_are_dropped_before_their_keys(monkeypatch) -> None:
+    """If a key were dropped with its answer, its resend would run again."""
     monkeypatch.setattr(ledgers, "MAX_TOTAL_ANSWER_BYTES", 250)
     ledger = make_ledger()
     for key in range(3):
@@ -53,6 +56,7 @@
 def test_only_a_claimant_with_the_same_view_gets_a_grant(
     hosts: list[str], verdict: int
 ) -> None:
+    """Two claimants with different replicas could both get a majority."""
     ledger = make_ledger()
     request = claim(1)
     request.keepers = hosts
@@ -76,10 +80,12 @@
     [("1796256000000-x", 1796256000000), ("179625600000-x", 0), ("abc", 0)],
 )
 def test_the_issue_time_is_read_from_a_key(key: str, issued_ms: int) -> None:
+    """A key without a 13-digit time counts as issued at 0."""
     assert ledgers.issued_ms_of(key) == issued_ms
 
 
 def fleet_ledger(hosts: int) -> ledgers.Ledger:
+    """Return the ledger of the host h0 in a fleet of some hosts."""
     ledger = ledgers.Ledger("h0", 1, 0, 0)
     names = [f"h{number}" for number in range(hosts)]
     ledger.sets.update({"s": names}, 0)
@@ -102,6 +108,7 @@
 
 
 def test_with_keys_in_use_all_hosts_are_pulled_at_growing_intervals() -> None:
+    """At a fixed interval, restarted hosts would load each other."""
     ledger = fleet_ledger(200)
     count_pulls(ledger, 0, 5000)
     ledger.claim(claim(1), 5000)
--- a/libs/requests/tests/test_occupancy.py
+++ b/libs/requests/tests/test_occupancy.py
@@ -37,12 +37,14 @@
 
 
 def test_a_target_without_refusals_or_bodies_is_not_logged() -> None:
+    """Lines of targets without load problems would hide the others."""
     occupancy = occupancies.Occupancy("t1")
     assert occupancy.tell(moment(running=2), 0) == []
     assert occupancy.tell(moment(running=2), 1000) == []
 
 
 def test_a_refusal_is_logged_only_once() -> None:
+    """Each line covers only the time since the line before."""
     occupancy = occupancies.Occupancy("t1")
     occupancy.refuse("no slot in time")
     assert occupancy.tell(moment(), 0)
--- a/libs/requests/tests/test_original_deadline.py
+++ b/libs/requests/tests/test_original_deadline.py
@@ -6,6 +6,7 @@
 
 
 def test_the_wait_of_a_retry_is_inferred() -> None:
+    """A retry sends the rest of the first deadline as its own."""
     deadlines = originals.OriginalDeadlines()
     for _ in range(20):
         assert deadlines.waited_ms("r", 2000) == 0
@@ -27,6 +28,7 @@
 
 
 def test_a_few_longer_deadlines_do_not_count() -> None:
+    """Otherwise the other callers would be taken for late retries."""
     deadlines = originals.OriginalDeadlines()
     for number in range(64):
         deadlines.waited_ms("r", 6000 if number % 20 == 0 else 2000)
@@ -44,6 +46,7 @@
 
 
 def test_removed_routes_are_dropped() -> None:
+    """Deadlines of removed routes would use memory without bound."""
     deadlines = originals.OriginalDeadlines()
     deadlines.waited_ms("r", 2000)
     deadlines.waited_ms("s", 2000)
--- a/libs/requests/tests/test_processing_time.py
+++ b/libs/requests/tests/test_processing_time.py
@@ -98,6 +98,7 @@
 
 
 def test_a_time_is_reported_with_enough_samples_and_on_change() -> None:
+    """One report follows the first samples, the next a real change."""
     processing_time = processing_times.ProcessingTime()
     for _ in range(processing_times.MIN_SAMPLES - 1):
         processing_time.add(100_000)
--- a/libs/requests/tests/test_target_side.py
+++ b/libs/requests/tests/test_target_side.py
@@ -140,6 +140,7 @@
 
 
 def test_a_restored_domain_gets_requests_again() -> None:
+    """The end of an evacuation must lift the refusal of requests."""
     harness = Harness()
     harness.core.evacuate(True, 0)
     harness.core.evacuate(False, 10)
@@ -194,6 +195,7 @@
 
 
 def test_a_warm_target_is_limited_only_by_its_slots() -> None:
+    """The rate limit of a cold target must not apply to a warm one."""
     harness = cold_harness(left_ms=0)
     assert (
         len(sum([dispatched(harness.send(n)) for n in range(1, 50)], [])) == 49
@@ -240,6 +242,7 @@
 
 
 def test_an_unchecked_target_is_cold_for_its_longest_warm_up() -> None:
+    """A target that does not answer the check must not stay cold forever."""
     harness = cold_harness(left_ms=0)
     harness.core.evacuate(True, 0)
     harness.core.evacuate(False, 0)
