--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -201,7 +201,7 @@
             # one more: it has just joined, and is not known here.
             hosts = len(records.by_host) + 1
             reserve = self.settings.retry_slack / hosts
-            self.entry.accounting.share_slack(reserve)
+            self.entry.accounting.set_reserve(reserve)
 
     def reconfigure(self, settings: setting_store.ProxySettings) -> None:
         """Take changed settings."""
--- a/libs/emulator/src/trefoil_emulator/troubled_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/troubled_fleet.py
@@ -194,7 +194,7 @@
         known = self.known[name]
         host = self.hosts[name]
         host.entry.records_changed(known, int(self.now_ms))
-        host.entry.accounting.share_slack(
+        host.entry.accounting.set_reserve(
             self.slack / (len(known.by_host) + 1)
         )
         host.targets.origins.hosts = attribution.hosts_by_services(
--- a/libs/requests/src/trefoil_requests/accounting.py
+++ b/libs/requests/src/trefoil_requests/accounting.py
@@ -42,7 +42,7 @@
         ratio = min(service.retry_budget, self.max_ratio)
         return budget.RetryBudget(ratio, self.reserve)
 
-    def share_slack(self, reserve: float) -> None:
+    def set_reserve(self, reserve: float) -> None:
         """Set this proxy's share of the repeats beyond the ratios.
 
         All proxies together must stay within one slack for each service.
