--- a/libs/requests/src/trefoil_requests/accounting.py
+++ b/libs/requests/src/trefoil_requests/accounting.py
@@ -66,7 +66,11 @@
         return self.budgets[service].tokens
 
     def deposit(self, live: lives.Live) -> None:
-        """Credit the budget for a request, or charge it if it is a repeat."""
+        """Credit the budget of a service for a new request.
+
+        If the request may be a call of a repeat, the budget is charged by
+        that probability.
+        """
         self.budgets[live.service].deposit(live.repeat)
 
     def withdraw(self, service: str, cause: budget.Cause) -> bool:
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -106,7 +106,7 @@
 
     Args:
         me: Name of this host.
-        incarnation: Number of this process's start.
+        incarnation: Identifier of this run of the process.
         now_ms: Start of this process on the runtime's clock.
         wall_ms: Start of this process on the wall clock.
     """
--- a/libs/requests/tests/test_bodies.py
+++ b/libs/requests/tests/test_bodies.py
@@ -157,7 +157,7 @@
     rest = messages.BodyPiece(1, 16_384, bytes(3616))
     complete, chunk_requests = incoming.receive(rest, 20)
     assert len(complete) == 20_000
-    assert {request.origin for request in chunk_requests} == {"c"}
+    assert {r.origin for r in chunk_requests} == {"c"}
 
 
 def test_a_stalled_sender_does_not_block_others() -> None:
@@ -166,14 +166,10 @@
     incoming.add(1, "a", 30_000, 500, 0)
     incoming.add(2, "b", 30_000, 900, 0)
     assert incoming.tick(bodies.MIN_SLOW_MS - 1) == []
-    assert {
-        request.origin for request in incoming.tick(bodies.MIN_SLOW_MS)
-    } == {"b"}
+    assert {r.origin for r in incoming.tick(bodies.MIN_SLOW_MS)} == {"b"}
     assert incoming.tick(bodies.STALL_TIMEOUT_MS) == []
     chunk_requests = incoming.remove(2, 400)
-    assert [
-        (request.origin, request.pull.offset) for request in chunk_requests
-    ] == [
+    assert [(r.origin, r.pull.offset) for r in chunk_requests] == [
         ("a", 0),
         ("a", 8192),
     ]
@@ -187,7 +183,7 @@
     incoming.tick(bodies.STALL_TIMEOUT_MS)
     incoming.receive(messages.BodyPiece(1, 0, bytes(8192)), 350)
     chunk_requests = incoming.remove(2, 400)
-    assert [request.pull.offset for request in chunk_requests] == [
+    assert [r.pull.offset for r in chunk_requests] == [
         8192,
         16_384,
     ]
@@ -209,25 +205,13 @@
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     for number, origin in enumerate("abcde"):
         incoming.add(number, origin, BODY_BYTES, 800 + number, 0)
-    assert {request.origin for request in deliver_chunk(incoming, 0, 12)} == {
-        "a"
-    }
-    assert {request.origin for request in deliver_chunk(incoming, 0, 132)} == {
-        "b"
-    }
-    assert {request.origin for request in deliver_chunk(incoming, 0, 252)} == {
-        "a"
-    }
-    assert {request.origin for request in deliver_chunk(incoming, 1, 264)} == {
-        "c"
-    }
-    assert {request.origin for request in deliver_chunk(incoming, 1, 396)} == {
-        "b"
-    }
+    assert {r.origin for r in deliver_chunk(incoming, 0, 12)} == {"a"}
+    assert {r.origin for r in deliver_chunk(incoming, 0, 132)} == {"b"}
+    assert {r.origin for r in deliver_chunk(incoming, 0, 252)} == {"a"}
+    assert {r.origin for r in deliver_chunk(incoming, 1, 264)} == {"c"}
+    assert {r.origin for r in deliver_chunk(incoming, 1, 396)} == {"b"}
     assert deliver_chunk(incoming, 2, 408) == []
-    assert {request.origin for request in deliver_chunk(incoming, 2, 420)} == {
-        "c"
-    }
+    assert {r.origin for r in deliver_chunk(incoming, 2, 420)} == {"c"}
 
 
 def test_a_slow_sender_is_not_taken_for_a_slow_link() -> None:
@@ -346,7 +330,7 @@
         messages.BodyPiece(1, 0, bytes(8192)), 12
     )
     assert complete is not None
-    assert {request.origin for request in chunk_requests} == {"b"}
+    assert {r.origin for r in chunk_requests} == {"b"}
 
 
 @pytest.mark.parametrize(
--- a/libs/requests/tests/test_processing_time.py
+++ b/libs/requests/tests/test_processing_time.py
@@ -11,7 +11,7 @@
 from trefoil_wire import messages
 
 # Answers of 5 KiB with a latency target of 626 ms.
-HURRY = cross_domain.Urgency(626_000, 4_172_000, cross_domain.cost(5))
+URGENCY = cross_domain.Urgency(626_000, 4_172_000, cross_domain.cost(5))
 TARGETS = 48
 PROXIES = 30
 REQUESTS = 60
@@ -72,7 +72,7 @@
         made = balancers.Balancer(f"d{proxy % 4}", rng)
         for number in range(REQUESTS):
             now_ms = 10_000 + 150 * number
-            endpoint = made.pick(holding, {}, now_ms=now_ms, urgency=HURRY)
+            endpoint = made.pick(holding, {}, now_ms=now_ms, urgency=URGENCY)
             made.started(endpoint.key)
             of = int(endpoint.host[1:])
             slow += is_slow(of)
