--- a/libs/daemon/src/trefoil_daemon/pools.py
+++ b/libs/daemon/src/trefoil_daemon/pools.py
@@ -6,7 +6,7 @@
 from trefoil_model import clock as clocks
 from trefoil_model import errors
 from trefoil_requests import effects
-from trefoil_requests import silent_connections
+from trefoil_requests import silence as silent_connections
 from trefoil_wire import messages
 
 from . import _http
--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -11,7 +11,7 @@
 
 from trefoil_wire import messages
 
-from . import cross_domain
+from . import crossing as cross_domain
 from . import routing
 
 LATENCY_WEIGHT = 0.12
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -13,7 +13,7 @@
 from trefoil_model import errors
 from trefoil_wire import messages
 
-from . import accounting
+from . import accounts as accounting
 from . import attribution
 from . import bodies
 from . import budget
@@ -23,7 +23,7 @@
 from . import ledger as ledgers
 from . import live as lives
 from . import observing
-from . import original_deadline as originals
+from . import patience as originals
 from . import placing as placings
 from . import quarantine as quarantines
 from . import routing
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -7,7 +7,7 @@
 
 from . import balancer as balancers
 from . import bodies
-from . import cross_domain
+from . import crossing as cross_domain
 from . import live as lives
 from . import routing
 
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -19,7 +19,7 @@
 from . import bodies
 from . import effects
 from . import occupancy as occupancies
-from . import processing_time as processing_times
+from . import pace as processing_times
 from . import quarantine as quarantines
 from . import warmup as warmups
 
--- a/libs/requests/tests/test_balancer.py
+++ b/libs/requests/tests/test_balancer.py
@@ -7,9 +7,9 @@
 
 from trefoil_requests import balancer as balancers
 from trefoil_requests import budget
-from trefoil_requests import cross_domain
+from trefoil_requests import crossing as cross_domain
 from trefoil_requests import routing
-from trefoil_requests import silent_connections
+from trefoil_requests import silence as silent_connections
 from trefoil_wire import messages
 
 WARM: collections.defaultdict[str, int] = collections.defaultdict(int)
--- a/libs/requests/tests/test_overload.py
+++ b/libs/requests/tests/test_overload.py
@@ -7,7 +7,7 @@
 import typing
 
 from trefoil_requests import admission
-from trefoil_requests import original_deadline as originals
+from trefoil_requests import patience as originals
 
 SLOTS = 6
 MEAN_MS = 90.0
--- a/libs/requests/tests/test_processing_time.py
+++ b/libs/requests/tests/test_pace.py
@@ -5,8 +5,8 @@
 
 from trefoil_fleet import records
 from trefoil_requests import balancer as balancers
-from trefoil_requests import cross_domain
-from trefoil_requests import processing_time as processing_times
+from trefoil_requests import crossing as cross_domain
+from trefoil_requests import pace as processing_times
 from trefoil_requests import routing
 from trefoil_wire import messages
 
--- a/libs/requests/tests/test_original_deadline.py
+++ b/libs/requests/tests/test_patience.py
@@ -2,7 +2,7 @@
 
 import random
 
-from trefoil_requests import original_deadline as originals
+from trefoil_requests import patience as originals
 
 
 def test_the_wait_of_a_retry_is_inferred() -> None:
