--- a/bench/moves.py
+++ b/bench/moves.py
@@ -13,7 +13,7 @@
 
 import traces
 
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import knobs as move_parameters
 
 TUNING_SEEDS = 1_000_000
 REPORT_SEEDS = 5_000_000
@@ -30,7 +30,7 @@
     fault = (traces.BAD if bad else traces.GOOD)[at]
     controller: traces.Controller = traces.Baseline()
     if ours:
-        knobs = knob_store.Knobs.from_profile(deployment.profile)
+        knobs = move_parameters.MoveParameters.from_profile(deployment.profile)
         controller = traces.Product(knobs)
     trace = traces.Trace(deployment, fault, seed, controller, guarded=ours)
     who = "ours" if ours else "baseline"
--- a/bench/roles.py
+++ b/bench/roles.py
@@ -17,7 +17,7 @@
 from trefoil_fleet import node as nodes
 from trefoil_fleet import records as record_store
 from trefoil_moves import evidence as evidences
-from trefoil_moves import judge as judges
+from trefoil_moves import judge as comparisons
 from trefoil_moves import state as states
 from trefoil_quorum import raft as rafts
 from trefoil_requests import routing
@@ -219,13 +219,15 @@
                 collector.observe(key, 1000 + 517 * (m % 13), False, False)
             reports.append(collector.report(1000))
         merger = evidences.Merger()
-        judge = judges.Judge("v1", "v2", threshold=11.7, tolerance=0.005)
+        comparison = comparisons.VersionComparison(
+            "v1", "v2", threshold=11.7, tolerance=0.005
+        )
 
         def second() -> None:
             merger.by_host.clear()
             for report in reports:
-                merger.hear(report, 0)
-            judge.add(merger.take_window())
+                merger.add_report(report, 0)
+            comparison.add(merger.take_window())
 
         sent = sum(len(frames.encode(report)) for report in reports)
         found.append(
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -15,8 +15,8 @@
 from trefoil_fleet import items as item_store
 from trefoil_moves import conductor as conductors
 from trefoil_moves import evidence as evidences
-from trefoil_moves import judge as judges
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import judge as comparisons
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import phases
 from trefoil_moves import state as states
 from trefoil_wire import frames
@@ -210,7 +210,7 @@
 class Product:
     """The daemons' conductor and agreed state."""
 
-    def __init__(self, knobs: knob_store.Knobs) -> None:
+    def __init__(self, knobs: move_parameters.MoveParameters) -> None:
         self.knobs = knobs
         self.conductor: conductors.Conductor | None = None
 
@@ -257,7 +257,7 @@
         if move.outcome:
             return
         for report in trace.arrived(now_ms):
-            self.merger.hear(report, now_ms)
+            self.merger.add_report(report, now_ms)
         if now_ms % 1000 == 0:
             self.windows.append((now_ms, self.merger.take_window()))
         recent = [w for at, w in self.windows if now_ms - at < self.KEEP_MS]
@@ -348,11 +348,11 @@
         self.event_at_ms = self.rng.uniform(8000, 60_000)
         self.event_domain = self.rng.randrange(DOMAINS)
 
-    def _guard(self) -> judges.Judge:
-        return judges.Judge(
+    def _guard(self) -> comparisons.VersionComparison:
+        return comparisons.VersionComparison(
             OLD,
             NEW,
-            threshold=judges.threshold_for(0.005 / 860, 600),
+            threshold=comparisons.threshold_for(0.005 / 860, 600),
             tolerance=0.01,
         )
 
--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -11,7 +11,7 @@
 from trefoil_model import clock as clocks
 from trefoil_model import effects as common
 from trefoil_model import errors
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import rulings
 from trefoil_moves import state as states
 from trefoil_quorum import effects as quorum_effects
@@ -109,7 +109,7 @@
         self.node.config.publish(self.state.items.copy(), now_ms)
         self.quarantine = quarantines.Quarantine()
         self.moves = leading_moves.LeadingMoves(
-            self, knob_store.Knobs.from_settings(settings)
+            self, move_parameters.MoveParameters.from_settings(settings)
         )
         self.evacuations = evacuations.EvacuationCalls(self)
         self.commands = operators.Waiters()
@@ -258,7 +258,7 @@
 
     def _refusal_here(
         self, command: messages.Command
-    ) -> rulings.Ruling | None:
+    ) -> rulings.CommandResult | None:
         """Return why a command can't be meant, by this host's settings.
 
         A slip in the name of a failure domain would else be acknowledged,
@@ -276,7 +276,7 @@
             return None
         reason = f"there is no failure domain {body.domain}"
         cause = messages.Cause.INVALID
-        return rulings.Ruling(messages.Outcome.NOT_RUN, reason, cause)
+        return rulings.CommandResult(messages.Outcome.NOT_RUN, reason, cause)
 
     def _forward(self, command: messages.Command, hops: int) -> None:
         """Pass a command to the leader, if one is linked."""
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -7,7 +7,7 @@
 from trefoil_fleet import items as item_store
 from trefoil_model import effects as common
 from trefoil_moves import conductor as conductors
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import rulings
 from trefoil_quorum import raft as rafts
 from trefoil_wire import messages
@@ -29,7 +29,7 @@
     def __init__(
         self,
         process: "control_process.ControlProcess",
-        knobs: knob_store.Knobs,
+        knobs: move_parameters.MoveParameters,
     ) -> None:
         self.process = process
         self.knobs = knobs
--- a/libs/daemon/src/trefoil_daemon/operators.py
+++ b/libs/daemon/src/trefoil_daemon/operators.py
@@ -90,7 +90,9 @@
     )
 
 
-def refused(command_id: str, refusal: rulings.Ruling) -> messages.CommandReply:
+def refused(
+    command_id: str, refusal: rulings.CommandResult
+) -> messages.CommandReply:
     """Return the answer to a command that was never appended."""
     return messages.CommandReply(
         command_id=command_id,
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -10,8 +10,8 @@
 from trefoil_model import clock as clocks
 from trefoil_model import effects as common
 from trefoil_moves import evidence as evidences
-from trefoil_moves import judge as judges
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import judge as comparisons
+from trefoil_moves import knobs as move_parameters
 from trefoil_requests import attribution
 from trefoil_requests import bodies
 from trefoil_requests import call as calls
@@ -113,7 +113,7 @@
         self.entry.accounts.most_ratio = settings.retry_ratio
         self.announced = announcements.Announcements(settings.lease_ms)
         self.collectors: dict[str, evidences.Collector] = {}
-        self.guards: dict[str, judges.Judge] = {}
+        self.guards: dict[str, comparisons.VersionComparison] = {}
         self.guard_at_ms = 0
         self.pace_at_ms = 0
         self.route_service: dict[str, str] = {}
@@ -219,8 +219,8 @@
             elif collector is None or collector.move_id != shares.move_id:
                 self._begin_collecting(service, shares)
             else:
-                collector.whole = all(
-                    share.version == collector.on_trial
+                collector.has_all_traffic = all(
+                    share.version == collector.new_version
                     for share in shares.shares
                     if share.permille
                 )
@@ -234,14 +234,14 @@
             self.node.members.record.incarnation,
             ordered[-1].version,
         )
-        knobs = knob_store.Knobs()
-        self.guards[service] = judges.Judge(
+        parameters = move_parameters.MoveParameters()
+        self.guards[service] = comparisons.VersionComparison(
             ordered[0].version,
             ordered[-1].version,
-            threshold=judges.threshold_for(
-                knobs.false_alarms / GUARD_FLEET, GUARD_WINDOWS
+            threshold=comparisons.threshold_for(
+                parameters.false_alarms / GUARD_FLEET, GUARD_WINDOWS
             ),
-            tolerance=knobs.tolerance,
+            tolerance=parameters.tolerance,
         )
 
     def observe(self, effect: request_effects.Observe) -> None:
@@ -269,22 +269,22 @@
         if now_ms < self.guard_at_ms:
             return
         self.guard_at_ms = now_ms + GUARD_MS
-        for service, judge in self.guards.items():
+        for service, comparison in self.guards.items():
             collector = self.collectors[service]
-            verdict = judge.add(collector.take_window())
+            verdict = comparison.add(collector.take_window())
             if verdict is None or collector.halted:
                 continue
             collector.halted = True
             collector.changed.update(collector.counts)
             self.entry.placing.halted[service] = frozenset(
-                (judge.new_version,)
+                (comparison.new_version,)
             )
             self.carrier.note(
                 common.Note(
                     "version.halted",
                     {
                         "service": service,
-                        "version": judge.new_version,
+                        "version": comparison.new_version,
                         "why": str(verdict),
                     },
                     "warning",
--- a/libs/moves/src/trefoil_moves/__init__.py
+++ b/libs/moves/src/trefoil_moves/__init__.py
@@ -1,1 +1,1 @@
-"""Moves of a service's traffic from one version to another."""
+"""Gradual moves of a service's traffic between versions."""
--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -1,8 +1,8 @@
-"""The conductor: the leader's decisions on one move, step by step.
+"""The move controller: the leader's decisions on one move, step by step.
 
-Whatever it decides becomes an entry of the agreed log, so that a new leader
-goes on from the same step. What it only counts (evidence) a new leader
-gathers anew from the proxies' cumulative reports.
+Each decision becomes an entry of the replicated log, so a new leader
+continues from the same step. Evidence is not in the log: a new leader
+collects it again from the proxies' cumulative reports.
 """
 
 import dataclasses
@@ -11,25 +11,32 @@
 
 from . import evidence as evidences
 from . import exposure as exposures
-from . import judge as judges
-from . import knobs as knob_store
+from . import judge as comparisons
+from . import knobs as move_parameters
 from . import pacing as pacings
 from . import phases
 
 EXPECTED_WINDOWS = 600
 COMPARE_WINDOWS = 40
 COMPARE_SHARES = (250, 800)
-LEANING_FACTOR = 3
-FAINT_SHARE = 0.02
-WHOLE = exposures.WHOLE
-# How often a leader looks for the next step.
+COMPARE_EXTENSION_FACTOR = 3
+LOW_TRAFFIC_SHARE = 0.02
+FULL_PERMILLE = exposures.FULL_PERMILLE
+# Interval between two decisions on a move.
 DECIDE_MS = 100
 SLOTS_MARGIN = 0.9
 
 
 @dataclasses.dataclass(slots=True)
 class Capacity:
-    """Slots that are ready, by version, and whether resources are there."""
+    """Capacity of both versions as announced by the fleet.
+
+    Args:
+        old_slots: Request slots of the old version that are ready.
+        new_slots: Request slots of the new version that are ready.
+        new_targets: Targets of the new version that are ready.
+        missing: Resources that targets of the new version lack.
+    """
 
     old_slots: int
     new_slots: int
@@ -39,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Step:
-    """Give the new version a share."""
+    """Decision to set the new version's share of the traffic."""
 
     permille: int
     phase: str
@@ -48,7 +55,7 @@
 
 @dataclasses.dataclass(slots=True)
 class End:
-    """Give the move its outcome."""
+    """Decision to end the move with an outcome."""
 
     outcome: int
     reason: str
@@ -59,18 +66,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Grounds:
-    """What a decision rests on, for people.
+    """Rationale of a decision, for operators and logs.
 
     Args:
-        permille: The version's share until then.
+        permille: The new version's share before the decision.
         at_step_ms: How long it had that share.
         left_ms: Time to the deadline.
-        given: Requests that the version got, as far as reported.
-        requests: Requests of both versions, as far as reported.
-        payable_ms: What the version may still get, as time at the whole
+        given: Requests that the new version got, as reported so far.
+        requests: Requests of both versions, as reported so far.
+        payable_ms: The exposure budget that is left, as time at full
             traffic.
-        leans_against: Whether half of what condemns was there.
-        is_clear: Whether requests at the whole share spoke for it.
+        leans_against: Whether there was an early warning: half of the
+            evidence that a verdict needs.
+        is_clear: Whether requests at full traffic cleared the version.
     """
 
     permille: int
@@ -84,25 +92,25 @@
 
 
 class Conductor:
-    """Leads one move while this process leads the agreement.
+    """Controls one move while this process is the Raft leader.
 
     Args:
-        move: The move as agreed.
-        knobs: How careful to be.
+        move: The move's record in the replicated state.
+        parameters: How careful to be.
         now_ms: The time on the runtime's clock.
     """
 
     __slots__ = (
         "move_id",
-        "knobs",
+        "parameters",
         "merger",
-        "judge",
+        "comparison",
         "exposure",
         "pacing",
         "counted_since_ms",
-        "window_at_ms",
+        "window_started_ms",
         "step_started_ms",
-        "seen_at_step",
+        "requests_at_step_start",
         "verdict",
         "phase",
     )
@@ -110,61 +118,61 @@
     def __init__(
         self,
         move: messages.MoveRecord,
-        knobs: knob_store.Knobs,
+        parameters: move_parameters.MoveParameters,
         now_ms: int,
     ) -> None:
         self.move_id = move.move_id
-        knobs = knobs.paced_for(move.deadline_ms - move.started_ms)
-        self.knobs = knobs
+        parameters = parameters.for_span(move.deadline_ms - move.started_ms)
+        self.parameters = parameters
         self.merger = evidences.Merger()
-        self.judge = judges.Judge(
+        self.comparison = comparisons.VersionComparison(
             move.from_version,
             move.to_version,
-            threshold=judges.threshold_for(
-                knobs.false_alarms, EXPECTED_WINDOWS
+            threshold=comparisons.threshold_for(
+                parameters.false_alarms, EXPECTED_WINDOWS
             ),
-            tolerance=knobs.tolerance,
-            compare_threshold=judges.threshold_for(
-                knobs.false_alarms, COMPARE_WINDOWS
+            tolerance=parameters.tolerance,
+            compare_threshold=comparisons.threshold_for(
+                parameters.false_alarms, COMPARE_WINDOWS
             ),
         )
         self.exposure = exposures.Exposure(
             move.to_version,
-            part=knobs.exposed_part,
-            requests=knobs.exposed_requests,
+            max_share=parameters.exposed_part,
+            extra_requests=parameters.exposed_requests,
             span_ms=move.deadline_ms - move.started_ms,
         )
         self.pacing: pacings.Pacing = (
-            pacings.BoundedPacing(knobs, self.exposure)
+            pacings.BoundedPacing(parameters, self.exposure)
             if self.exposure.is_bounded
-            else pacings.EvenPacing(knobs)
+            else pacings.EvenPacing(parameters)
         )
         self.counted_since_ms = -1
-        self.window_at_ms = now_ms
+        self.window_started_ms = now_ms
         self.step_started_ms = now_ms
-        self.seen_at_step: dict[str, int] = {}
-        self.verdict: judges.Verdict | None = None
+        self.requests_at_step_start: dict[str, int] = {}
+        self.verdict: comparisons.Verdict | None = None
         self.phase = move.phase
         if move.phase == phases.WATCH:
-            self.judge.begin_watch()
+            self.comparison.begin_watch()
 
     def hear(self, report: messages.EvidenceReport, now_ms: int) -> None:
-        """Take a proxy's report."""
-        self.merger.hear(report, now_ms)
+        """Add a proxy's evidence report."""
+        self.merger.add_report(report, now_ms)
 
     def stepped(self, move: messages.MoveRecord, now_ms: int) -> None:
-        """Note that a step was agreed."""
+        """Record that a step was committed."""
         self.step_started_ms = now_ms
-        self.seen_at_step = self.judge.seen()
+        self.requests_at_step_start = self.comparison.new_request_counts()
         if move.phase == self.phase:
             return
         if self.phase == phases.WAITING:
             self.counted_since_ms = now_ms
         self.phase = move.phase
         if move.phase == phases.WATCH:
-            self.judge.begin_watch()
+            self.comparison.begin_watch()
         elif move.phase == phases.COMPARE:
-            self.judge.begin_compare()
+            self.comparison.begin_compare()
 
     def decide(
         self,
@@ -174,20 +182,20 @@
         now_ms: int,
         wall_ms: int,
     ) -> Decision:
-        """Return the next step of a move, if one is due.
+        """Return the decision that is due on the move, None if none is.
 
         Args:
-            move: The move as agreed.
-            capacity: What the fleet announces of both versions.
+            move: The move's record in the replicated state.
+            capacity: Capacity of both versions as announced by the fleet.
             now_ms: The time on the runtime's clock.
-            wall_ms: The time that the deadline is measured by.
+            wall_ms: The wall-clock time, which the deadline refers to.
         """
         if self.counted_since_ms < 0:
             self._take_over(move, now_ms, wall_ms)
         self._close_window(now_ms)
-        bad = self._fault()
-        if bad:
-            return End(messages.Outcome.TAKEN_BACK, bad)
+        fault = self._fault_reason()
+        if fault:
+            return End(messages.Outcome.TAKEN_BACK, fault)
         match move.phase:
             case phases.WAITING:
                 return self._decide_waiting(move, capacity, now_ms, wall_ms)
@@ -200,47 +208,51 @@
     def _take_over(
         self, move: messages.MoveRecord, now_ms: int, wall_ms: int
     ) -> None:
-        """Go on with a move that another leader may have led until now.
+        """Continue a move that another leader may have controlled before.
 
-        The proxies' cumulative reports tell what was counted before; begun
-        anew, the step would last, and its version cost, once more. A watch
-        does begin anew: this leader has seen nothing of it yet.
+        The proxies' cumulative reports include what was counted before. If
+        the step started over, it would last its full time and cost its
+        exposure a second time. A watch does start over, since this leader
+        has no evidence of it yet.
         """
         self.counted_since_ms = now_ms - (wall_ms - move.started_ms)
         if move.phase in (phases.TRIAL, phases.RAMP):
             self.step_started_ms = now_ms - (wall_ms - move.step_ms)
 
     def _close_window(self, now_ms: int) -> None:
-        elapsed_ms = now_ms - self.window_at_ms
+        elapsed_ms = now_ms - self.window_started_ms
         if elapsed_ms < self._window_ms():
             return
-        self.window_at_ms = now_ms
+        self.window_started_ms = now_ms
         window = self.merger.take_window()
         self.exposure.add(window)
-        if self._is_settled(now_ms):
-            self.judge.begin_clearing()
-        verdict = self.judge.add(window, elapsed_ms / self.knobs.window_ms)
+        if self._covers_full_share(now_ms):
+            self.comparison.begin_clearance()
+        verdict = self.comparison.add(
+            window, elapsed_ms / self.parameters.window_ms
+        )
         self.verdict = self.verdict or verdict
 
     def _window_ms(self) -> int:
-        """Return how long evidence is gathered before it is looked at.
+        """Return the length of an evidence window.
 
-        With all the traffic each tenth of a second counts, and no strata of
-        two versions are compared that would be thinner for it.
+        At full traffic each tenth of a second of a fault matters. Short
+        windows do no harm then, since no strata of two versions are compared
+        that would get smaller.
         """
         if self.exposure.is_bounded and self.phase == phases.WATCH:
             return DECIDE_MS
-        return self.knobs.window_ms
+        return self.parameters.window_ms
 
-    def _is_settled(self, now_ms: int) -> bool:
-        """Tell whether what is reported from now on ran at the whole share."""
-        if self.phase != phases.WATCH or self.judge.clearance is not None:
+    def _covers_full_share(self, now_ms: int) -> bool:
+        """Tell whether new reports only cover requests at full traffic."""
+        if self.phase != phases.WATCH or self.comparison.clearance is not None:
             return False
-        pause_ms = evidences.report_pause_ms(len(self.merger.by_host))
-        settled_ms = pause_ms + exposures.SPREAD_MS
-        return now_ms - self.step_started_ms >= settled_ms
+        interval_ms = evidences.report_interval_ms(len(self.merger.by_host))
+        settling_ms = interval_ms + exposures.PROPAGATION_MS
+        return now_ms - self.step_started_ms >= settling_ms
 
-    def _fault(self) -> str:
+    def _fault_reason(self) -> str:
         if self.verdict is not None:
             return str(self.verdict)
         if self.merger.halted_by:
@@ -257,11 +269,11 @@
         wall_ms: int,
     ) -> Decision:
         if capacity.new_targets and not capacity.missing:
-            standing = self.standing(move, now_ms, wall_ms)
-            share = self.pacing.first_share(move, standing)
+            status = self.standing(move, now_ms, wall_ms)
+            share = self.pacing.first_share(move, status)
             return Step(share, phases.TRIAL, "targets are ready")
         if wall_ms >= move.deadline_ms:
-            return End(messages.Outcome.NOT_RUN, _why_waiting(capacity))
+            return End(messages.Outcome.NOT_RUN, _not_ready_reason(capacity))
         return None
 
     def _decide_ramp(
@@ -273,93 +285,99 @@
     ) -> Decision:
         if not capacity.new_targets:
             return End(messages.Outcome.TAKEN_BACK, "its targets went away")
-        standing = self.standing(move, now_ms, wall_ms)
-        doubt = self.pacing.doubt(move, standing)
-        if doubt:
-            return End(messages.Outcome.TAKEN_BACK, doubt)
-        if standing.left_ms <= 0:
+        status = self.standing(move, now_ms, wall_ms)
+        rollback_reason = self.pacing.rollback_reason(move, status)
+        if rollback_reason:
+            return End(messages.Outcome.TAKEN_BACK, rollback_reason)
+        if status.left_ms <= 0:
             return self._at_deadline(move, capacity)
-        share = self.pacing.next_share(move, standing)
+        share = self.pacing.next_share(move, status)
         share = min(share, _share_for(capacity))
         if share <= move.permille:
             return None
-        shown = standing.has_shown and not standing.leans_against
-        why = "evidence is in" if shown else "thin evidence, time is due"
-        return self._step_to(share, why)
+        has_evidence = status.has_evidence and not status.leans_against
+        reason = (
+            "evidence is in" if has_evidence else "thin evidence, time is due"
+        )
+        return self._step_to(share, reason)
 
     def standing(
         self, move: messages.MoveRecord, now_ms: int, wall_ms: int
-    ) -> pacings.Standing:
-        """Return how the move stands now."""
-        return pacings.Standing(
+    ) -> pacings.MoveStatus:
+        """Return the status of the move at the given time."""
+        return pacings.MoveStatus(
             at_step_ms=now_ms - self.step_started_ms,
             left_ms=move.deadline_ms - wall_ms,
             counted_ms=now_ms - self.counted_since_ms,
-            seen_late_ms=self._seen_late_ms(),
-            has_shown=self._has_shown(),
-            leans_against=self.judge.leans_against(),
-            is_clear=self.judge.is_clear,
-            is_doubtful=self.judge.is_doubtful,
+            detection_delay_ms=self._detection_delay_ms(),
+            has_evidence=self._has_evidence(),
+            leans_against=self.comparison.leans_against(),
+            is_clear=self.comparison.is_clear,
+            is_unfavorable=self.comparison.is_unfavorable,
         )
 
     def grounds(
         self, move: messages.MoveRecord, now_ms: int, wall_ms: int
     ) -> Grounds:
-        """Return what a decision made now rests on."""
-        standing = self.standing(move, now_ms, wall_ms)
+        """Return the rationale of a decision made at the given time."""
+        status = self.standing(move, now_ms, wall_ms)
         return Grounds(
             permille=move.permille,
-            at_step_ms=round(standing.at_step_ms),
-            left_ms=round(standing.left_ms),
-            given=round(self.exposure.given),
-            requests=round(self.exposure.total),
-            payable_ms=round(self.exposure.left_ms(standing.counted_ms)),
-            leans_against=standing.leans_against,
-            is_clear=standing.is_clear,
+            at_step_ms=round(status.at_step_ms),
+            left_ms=round(status.left_ms),
+            given=round(self.exposure.new_requests),
+            requests=round(self.exposure.all_requests),
+            payable_ms=round(self.exposure.remaining_ms(status.counted_ms)),
+            leans_against=status.leans_against,
+            is_clear=status.is_clear,
         )
 
     def _at_deadline(
         self, move: messages.MoveRecord, capacity: Capacity
     ) -> Decision:
-        """Move whole if the slots allow; thin evidence is no evidence.
+        """Move all traffic if the slots allow, even with thin evidence.
 
-        Operators set the deadline because the date matters, and nothing
-        speaks against the version; the watch still guards callers.
+        Operators set a deadline because the date matters, and there is no
+        verdict against the version. The watch still protects callers.
         """
-        if _share_for(capacity) >= WHOLE:
-            return self._step_to(WHOLE, "the deadline is here")
+        if _share_for(capacity) >= FULL_PERMILLE:
+            return self._step_to(FULL_PERMILLE, "the deadline is here")
         return End(
             messages.Outcome.TAKEN_BACK,
             f"at the deadline it has {capacity.new_slots} slots, "
             f"the old version {capacity.old_slots}",
         )
 
-    def _step_to(self, share: int, why: str) -> Step:
-        phase = phases.WATCH if share >= WHOLE else phases.RAMP
-        return Step(share, phase, why)
-
-    def _seen_late_ms(self) -> float:
-        """Return how long the whole share's faults take to be taken back."""
-        pauses_ms = evidences.urgent_pause_ms(len(self.merger.by_host))
-        pauses_ms += 2 * DECIDE_MS
-        return pauses_ms + exposures.SPREAD_MS + self.judge.answered_ms()
+    def _step_to(self, share: int, reason: str) -> Step:
+        phase = phases.WATCH if share >= FULL_PERMILLE else phases.RAMP
+        return Step(share, phase, reason)
+
+    def _detection_delay_ms(self) -> float:
+        """Return the time from a fault at full traffic to its rollback."""
+        delay_ms = evidences.urgent_interval_ms(len(self.merger.by_host))
+        delay_ms += 2 * DECIDE_MS
+        return (
+            delay_ms
+            + exposures.PROPAGATION_MS
+            + self.comparison.old_latency_ms()
+        )
 
-    def _has_shown(self) -> bool:
-        """Tell whether each route that matters had enough requests.
+    def _has_evidence(self) -> bool:
+        """Tell whether each route with real traffic had enough requests.
 
-        A faint route can't hold the move up: it has under 2% of requests,
-        and the watch goes on after the whole share.
+        A route with under 2% of the requests doesn't delay the move; the
+        watch at full traffic still covers it.
         """
-        seen = self.judge.seen()
-        old = self.judge.old_seen()
+        seen = self.comparison.new_request_counts()
+        old = self.comparison.old_request_counts()
         total = sum(seen.values()) + sum(old.values())
         if not total:
             return False
         for route, count in seen.items():
-            if count + old.get(route, 0) < FAINT_SHARE * total:
+            if count + old.get(route, 0) < LOW_TRAFFIC_SHARE * total:
                 continue
-            gained = count - self.seen_at_step.get(route, 0)
-            if gained < self.knobs.requests_per_step:
+            gained = count - self.requests_at_step_start.get(route, 0)
+            if gained < self.parameters.requests_per_step:
                 return False
         return bool(seen)
 
@@ -370,62 +388,71 @@
         now_ms: int,
         wall_ms: int,
     ) -> Decision:
-        suspicion = self.judge.suspects()
-        if suspicion and capacity.old_slots and self._compares(suspicion):
-            why = f"{suspicion}; asking the old one"
-            return Step(_compare_share(move), phases.COMPARE, why)
-        if suspicion and not self._compares(suspicion):
+        suspicion = self.comparison.suspicion()
+        if (
+            suspicion
+            and capacity.old_slots
+            and self._needs_comparison(suspicion)
+        ):
+            reason = f"{suspicion}; asking the old one"
+            return Step(_compare_share(move), phases.COMPARE, reason)
+        if suspicion and not self._needs_comparison(suspicion):
             return End(messages.Outcome.TAKEN_BACK, str(suspicion))
-        standing = self.standing(move, now_ms, wall_ms)
-        doubt = self.pacing.doubt(move, standing)
-        if doubt:
-            return End(messages.Outcome.TAKEN_BACK, doubt)
-        if self.pacing.is_good(move, standing):
+        status = self.standing(move, now_ms, wall_ms)
+        rollback_reason = self.pacing.rollback_reason(move, status)
+        if rollback_reason:
+            return End(messages.Outcome.TAKEN_BACK, rollback_reason)
+        if self.pacing.is_good(move, status):
             return End(messages.Outcome.DONE, "whole and watched")
         return None
 
-    def _compares(self, suspicion: judges.Suspicion) -> bool:
-        """Tell whether the old version is asked again.
+    def _needs_comparison(self, suspicion: comparisons.Suspicion) -> bool:
+        """Tell whether a suspicion leads to a comparison or a rollback.
 
-        Failures after the whole share harm a request each, so a move of
-        seconds takes them at their word. Latency often grows for both
-        versions, as in a burst of callers.
+        At full traffic each failure hits a request, so a move of seconds is
+        taken back for failures without a comparison. Latency often grows for
+        both versions, for example in a burst of callers, so it always needs
+        a comparison.
         """
-        if suspicion.kind == judges.LATENCY:
+        if suspicion.kind == comparisons.LATENCY:
             return True
-        return self.knobs.compares_failures
+        return self.parameters.compare_failures
 
     def _decide_compare(self, now_ms: int) -> Decision:
-        limit_ms = self.knobs.compare_ms
-        if self.judge.leans_against():
-            limit_ms *= LEANING_FACTOR
+        limit_ms = self.parameters.compare_ms
+        if self.comparison.leans_against():
+            limit_ms *= COMPARE_EXTENSION_FACTOR
         if now_ms - self.step_started_ms < limit_ms:
             return None
-        return Step(WHOLE, phases.WATCH, "the old version fares no better")
+        return Step(
+            FULL_PERMILLE, phases.WATCH, "the old version fares no better"
+        )
 
 
 def _compare_share(move: messages.MoveRecord) -> int:
     """Return the new version's share in the next comparison.
 
-    A small share tells fastest and harms least, but hides a fault that
-    shows only under load; the comparison after it leaves most of the load.
-    The agreed history counts them, so a new leader goes on in turn.
+    A small share gives a result fastest and harms the fewest requests, but
+    hides a fault that occurs only under load, so the next comparison keeps
+    most of the load on the new version. The number of past comparisons comes
+    from the move's replicated history, so a new leader continues the
+    alternation.
     """
     before = sum(f" {phases.COMPARE} " in line for line in move.history)
     return COMPARE_SHARES[before % len(COMPARE_SHARES)]
 
 
 def _share_for(capacity: Capacity) -> int:
-    """Return the share that the new version's slots can carry."""
+    """Return the permille that the new version's slots can serve."""
     if not capacity.old_slots:
-        return WHOLE
+        return FULL_PERMILLE
     ratio = capacity.new_slots / capacity.old_slots
     if ratio >= SLOTS_MARGIN:
-        return WHOLE
-    return int(WHOLE * ratio * SLOTS_MARGIN)
+        return FULL_PERMILLE
+    return int(FULL_PERMILLE * ratio * SLOTS_MARGIN)
 
 
-def _why_waiting(capacity: Capacity) -> str:
+def _not_ready_reason(capacity: Capacity) -> str:
     if not capacity.new_targets:
         return "no target of the new version was ready by the deadline"
     missing = ", ".join(capacity.missing)
--- a/libs/moves/src/trefoil_moves/evidence.py
+++ b/libs/moves/src/trefoil_moves/evidence.py
@@ -1,7 +1,7 @@
 """Evidence about versions: counted at proxies, merged at the leader.
 
-Tallies are cumulative for a process's life, so a report that is lost, late,
-doubled or crossed changes nothing once a later one arrives.
+Tallies are cumulative over a process's lifetime, so a report that is lost,
+delayed, duplicated or reordered makes no difference once a later one arrives.
 """
 
 import collections.abc
@@ -11,16 +11,16 @@
 from trefoil_model import latency
 from trefoil_wire import messages
 
-# In a move of seconds each tenth until a fault is seen is a tenth of all
-# requests at risk.
-REPORT_MS = 250
-REPORT_MS_PER_HOST = 3
-# What presses is told in this part of the usual pause.
-URGENT_PART = 0.4
+# Short, because in a move of seconds each tenth of the time until a fault is
+# detected puts a tenth of all requests at risk.
+REPORT_INTERVAL_MS = 250
+INTERVAL_MS_PER_HOST = 3
+# Urgent evidence is reported after this part of the usual interval.
+URGENT_INTERVAL_FACTOR = 0.4
 
 
 class TallyKey(typing.NamedTuple):
-    """What a tally is kept for."""
+    """Identifies a tally: route, version and failure domain."""
 
     route: str
     version: str
@@ -38,8 +38,8 @@
     def add(self, latency_us: int, failed: bool, cold: bool) -> None:
         """Count a request.
 
-        A cold target's latency is left out: its first requests are slow on
-        any version and would condemn each new one.
+        The latency of a cold target is left out: its first requests are slow
+        with any version, so each new version would get a verdict.
         """
         self.requests += 1
         self.failures += failed
@@ -55,7 +55,7 @@
             self.latencies[bucket] = self.latencies.get(bucket, 0) + count
 
     def minus(self, other: "Counts") -> "Counts":
-        """Return what came since other, earlier counts."""
+        """Return the increase since other, earlier counts."""
         return Counts(
             self.requests - other.requests,
             self.failures - other.failures,
@@ -66,11 +66,11 @@
             },
         )
 
-    def fade(self, keep: float) -> None:
-        """Scale the counts down."""
-        self.requests *= keep
-        self.failures *= keep
-        self.latencies = {b: c * keep for b, c in self.latencies.items()}
+    def decay(self, factor: float) -> None:
+        """Multiply all counts by a factor below 1."""
+        self.requests *= factor
+        self.failures *= factor
+        self.latencies = {b: c * factor for b, c in self.latencies.items()}
 
 
 Window = dict[TallyKey, Counts]
@@ -82,44 +82,45 @@
     Args:
         move_id: The move.
         host: Name of this host.
-        incarnation: This process's life.
-        on_trial: The version that is being brought in.
+        incarnation: Incarnation of this process.
+        new_version: The version that traffic moves to.
 
-    ``whole`` tells that it has all the traffic: each tenth of a second that
-    its answers are heard of sooner is a tenth that a bad one gets less.
+    ``has_all_traffic`` is set while the new version has all the traffic.
+    Reports are more frequent then, since each tenth of a second saved is a
+    tenth of a second of traffic that a bad version doesn't get.
     """
 
     __slots__ = (
         "move_id",
         "host",
         "incarnation",
-        "on_trial",
+        "new_version",
         "sequence",
         "counts",
         "changed",
         "window",
         "reported_ms",
-        "told_all_ms",
+        "full_report_ms",
         "urgent",
-        "whole",
+        "has_all_traffic",
         "halted",
     )
 
     def __init__(
-        self, move_id: str, host: str, incarnation: int, on_trial: str = ""
+        self, move_id: str, host: str, incarnation: int, new_version: str = ""
     ) -> None:
         self.move_id = move_id
         self.host = host
         self.incarnation = incarnation
-        self.on_trial = on_trial
+        self.new_version = new_version
         self.sequence = 0
         self.counts: Window = {}
         self.changed: set[TallyKey] = set()
         self.window: Window = {}
-        self.reported_ms = -REPORT_MS
-        self.told_all_ms = 0
+        self.reported_ms = -REPORT_INTERVAL_MS
+        self.full_report_ms = 0
         self.urgent = False
-        self.whole = False
+        self.has_all_traffic = False
         self.halted = False
 
     def observe(
@@ -129,11 +130,11 @@
         for counts in (self.counts, self.window):
             counts.setdefault(key, Counts()).add(latency_us, failed, cold)
         self.changed.add(key)
-        if failed and key.version == self.on_trial:
+        if failed and key.version == self.new_version:
             self.urgent = True
 
     def take_window(self) -> Window:
-        """Return what was counted since the last call."""
+        """Return the counts since the last call and reset them."""
         window = self.window
         self.window = {}
         return window
@@ -145,22 +146,26 @@
 
         Args:
             now_ms: The time on the runtime's clock.
-            hosts: Size of the fleet. A seed passes on the reports of all
-                that it serves, so a large fleet reports less often; a proxy
-                that halted tells at once.
+            hosts: Size of the fleet. A seed forwards the reports of all
+                hosts that it serves, so a large fleet reports less often. A
+                proxy that halted the version reports at once.
         """
-        pause_ms = report_pause_ms(hosts)
-        if self.urgent or self.whole:
-            pause_ms = urgent_pause_ms(hosts)
-        due = now_ms >= self.reported_ms + pause_ms or self.halted
+        interval_ms = report_interval_ms(hosts)
+        if self.urgent or self.has_all_traffic:
+            interval_ms = urgent_interval_ms(hosts)
+        due = now_ms >= self.reported_ms + interval_ms or self.halted
         if not self.changed or not due:
             return None
         self.reported_ms = now_ms
         self.urgent = False
-        if self.whole and now_ms >= self.told_all_ms + 2 * pause_ms:
-            # The old version's counts change no more. A leader that takes
-            # over would never hear of them, and have nothing to compare with.
-            self.told_all_ms = now_ms
+        if (
+            self.has_all_traffic
+            and now_ms >= self.full_report_ms + 2 * interval_ms
+        ):
+            # The old version's counts no longer change. Without full
+            # reports a new leader would never receive them and would have
+            # nothing to compare the new version with.
+            self.full_report_ms = now_ms
             self.changed.update(self.counts)
         self.sequence += 1
         tallies = [
@@ -186,8 +191,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reported:
-    """What one proxy's life has reported so far."""
+class HostTallies:
+    """Cumulative counts reported by one incarnation of a proxy."""
 
     incarnation: int
     counts: Window
@@ -199,28 +204,28 @@
     __slots__ = ("by_host", "window", "halted_by")
 
     def __init__(self) -> None:
-        self.by_host: dict[str, Reported] = {}
+        self.by_host: dict[str, HostTallies] = {}
         self.window: Window = {}
         self.halted_by = ""
 
-    def hear(self, report: messages.EvidenceReport, now_ms: int) -> None:
-        """Take a report and add what is new in it to the window."""
+    def add_report(self, report: messages.EvidenceReport, now_ms: int) -> None:
+        """Add the increase since the host's last report to the window."""
         known = self.by_host.get(report.host)
         if known is not None and report.incarnation < known.incarnation:
             return
         if known is None or report.incarnation > known.incarnation:
-            known = Reported(report.incarnation, {})
+            known = HostTallies(report.incarnation, {})
             self.by_host[report.host] = known
         if report.halted:
             self.halted_by = report.host
         for tally in report.tallies or ():
-            self._take(known, tally)
+            self._add_tally(known, tally)
 
-    def _take(self, known: Reported, tally: messages.Tally) -> None:
+    def _add_tally(self, known: HostTallies, tally: messages.Tally) -> None:
         key = TallyKey(tally.route, tally.version, tally.domain)
         old = known.counts.get(key, Counts())
         if tally.requests <= old.requests:
-            # Reports crossed: what this one tells is in a later one.
+            # Reordered: a later report with these counts came first.
             return
         new = Counts(
             tally.requests, tally.failures, dict(tally.latencies or {})
@@ -229,22 +234,22 @@
         self.window.setdefault(key, Counts()).merge(new.minus(old))
 
     def take_window(self) -> Window:
-        """Return what was reported since the last call."""
+        """Return the counts reported since the last call and reset them."""
         window = self.window
         self.window = {}
         return window
 
 
-def report_pause_ms(hosts: int) -> int:
-    """Return the pause between a proxy's reports in a fleet of some size."""
-    return max(REPORT_MS, hosts * REPORT_MS_PER_HOST)
+def report_interval_ms(hosts: int) -> int:
+    """Return the interval between a proxy's reports, by fleet size."""
+    return max(REPORT_INTERVAL_MS, hosts * INTERVAL_MS_PER_HOST)
 
 
-def urgent_pause_ms(hosts: int) -> int:
-    """Return the pause while the version on trial fails, or is whole."""
-    return int(report_pause_ms(hosts) * URGENT_PART)
+def urgent_interval_ms(hosts: int) -> int:
+    """Return the interval while the new version fails or has all traffic."""
+    return int(report_interval_ms(hosts) * URGENT_INTERVAL_FACTOR)
 
 
 def routes_in(window: collections.abc.Iterable[TallyKey]) -> list[str]:
-    """Return the routes that a window tells of."""
+    """Return the sorted names of the routes in a window."""
     return sorted({key.route for key in window})
--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -1,9 +1,9 @@
-"""The judgement of a new version beside the old one.
+"""Comparison of a new version with the old one.
 
-A verdict needs both a sequential test's evidence, which bounds how often a
-good version is condemned by chance, and a difference large enough to matter,
-which keeps a version that is a trifle slower from being taken back for ever
-more evidence of a trifle.
+A verdict needs both evidence from a sequential test, which bounds how often a
+good version is rejected by chance, and a difference large enough to matter.
+Without the latter, a slightly slower version would be taken back once enough
+evidence of the small difference has accumulated.
 """
 
 import dataclasses
@@ -14,19 +14,19 @@
 from . import evidence as evidences
 from . import sequential
 
-FADE = 0.95
+DECAY_PER_WINDOW = 0.95
 SLOW_QUANTILE = 0.9
 TAIL_QUANTILE = 0.95
 TAIL_BUCKETS = 3
 SLOW_BUCKETS = 1
-LEARN_LATENCIES = 40
-BASE_TOLERANCE = 0.003
-BASE_ALARM = 0.016
-BASE_EVIDENCE = 5.0
-# A fault that matters adds this much to the share of requests that fail.
-CLEAR_ALARM = 0.1
-# One bad version in a hundred may look like a good one by chance.
-CLEAR_EVIDENCE = math.log(100)
+MIN_LATENCIES = 40
+BASELINE_TOLERANCE = 0.003
+BASELINE_ALARM_MARGIN = 0.016
+BASELINE_EVIDENCE = 5.0
+# Least increase of the failure rate that counts as a fault.
+CLEARANCE_FAULT_MARGIN = 0.1
+# At most one bad version in a hundred is cleared by chance.
+CLEARANCE_EVIDENCE = math.log(100)
 ALL_ROUTES = "*"
 FAILURES = "failures"
 LATENCY = "latency"
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """What speaks against a version.
+    """A sign of a fault in the new version that isn't proved yet.
 
     Args:
-        route: The route on which it shows.
+        route: The route with the fault.
         kind: ``failures`` or ``latency``.
-        detail: The figures, for people.
+        detail: The figures, for operators.
     """
 
     route: str
@@ -52,29 +52,30 @@
 
 @dataclasses.dataclass(slots=True)
 class Verdict(Suspicion):
-    """A suspicion that the test has proved: the version is bad.
+    """A fault that the sequential test has proved.
 
     Args:
-        evidence: Log of the evidence.
+        evidence: Logarithm of the evidence against the new version.
     """
 
     evidence: float
 
 
 @dataclasses.dataclass(slots=True)
-class RouteCase:
-    """What is known of both versions on one route.
+class RouteComparison:
+    """Tests and counts of both versions on one route.
 
     Args:
         failures: The test of failure rates.
         slowness: The test of slow requests.
         baseline: The test of failures without the old version's traffic.
         reference: The old version's counts that the watch compares with.
-        slow_bucket: Latency bucket from which a request counts as slow.
+        slow_bucket: Latency bucket from which a request counts as slow; -1
+            until enough latencies of the old version are known.
         old: The old version's recent counts.
         new: The new version's recent counts.
-        old_ever: All counts of the old version.
-        new_ever: Warm requests of the new version.
+        old_total: All counts of the old version.
+        new_latency_count: Requests of the new version to warm targets.
     """
 
     failures: sequential.Detector = dataclasses.field(
@@ -90,22 +91,22 @@
     slow_bucket: int = -1
     old: evidences.Counts = dataclasses.field(default_factory=evidences.Counts)
     new: evidences.Counts = dataclasses.field(default_factory=evidences.Counts)
-    old_ever: evidences.Counts = dataclasses.field(
+    old_total: evidences.Counts = dataclasses.field(
         default_factory=evidences.Counts
     )
-    new_ever: int = 0
+    new_latency_count: int = 0
 
 
-class Judge:
-    """Judges one move's new version, window after window.
+class VersionComparison:
+    """Compares one move's new version with the old one, by windows.
 
     Args:
-        old_version: The version that is in order.
-        new_version: The version under judgement.
-        threshold: Log of the evidence that condemns.
+        old_version: The version known to be good.
+        new_version: The version under test.
+        threshold: Logarithm of the evidence that a verdict needs.
         tolerance: Difference of the failure rates that does not matter.
-        compare_threshold: The same while both versions are compared again
-            after the whole share; ``threshold`` by default.
+        compare_threshold: The threshold while both versions are compared
+            again after a suspicion at full traffic; ``threshold`` by default.
     """
 
     __slots__ = (
@@ -114,9 +115,9 @@
         "threshold",
         "compare_threshold",
         "tolerance",
-        "cases",
+        "by_route",
         "watching",
-        "compared",
+        "was_compared",
         "clearance",
     )
 
@@ -134,71 +135,71 @@
         self.threshold = threshold
         self.compare_threshold = compare_threshold or threshold
         self.tolerance = tolerance
-        self.cases: dict[str, RouteCase] = {}
+        self.by_route: dict[str, RouteComparison] = {}
         self.watching = False
-        self.compared = False
+        self.was_compared = False
         self.clearance: sequential.Clearance | None = None
 
     def add(
         self, window: evidences.Window, weight: float = 1.0
     ) -> Verdict | None:
-        """Take a window; return a verdict if the version is bad.
+        """Add a window and return a verdict if the new version is bad.
 
         Args:
-            window: What was reported since the last one.
-            weight: How long it lasted, in usual windows.
+            window: Counts reported since the last window.
+            weight: Length of the window, in windows of the usual length.
         """
-        fade = FADE**weight
+        decay = DECAY_PER_WINDOW**weight
         routes = evidences.routes_in(window)
         for route in routes:
-            case = self.cases.setdefault(route, RouteCase())
-            self._add_route(case, route, window, fade)
-        self._pool(routes, window, fade)
+            comparison = self.by_route.setdefault(route, RouteComparison())
+            self._add_route(comparison, route, window, decay)
+        self._pool(routes, window, decay)
         if self.watching:
-            self._watch_new_cases()
+            self._watch_new_routes()
         if self.clearance is not None:
-            self._clear(window)
-        found = []
-        for route, case in self.cases.items():
-            found.append(self._judge_failures(route, case))
-            found.append(self._judge_latency(route, case))
-        verdicts = [verdict for verdict in found if verdict is not None]
+            self._add_to_clearance(window)
+        candidates = []
+        for route, comparison in self.by_route.items():
+            candidates.append(self._compare_failures(route, comparison))
+            candidates.append(self._compare_latency(route, comparison))
+        verdicts = [verdict for verdict in candidates if verdict is not None]
         return max(verdicts, key=lambda v: v.evidence, default=None)
 
     def _pool(
-        self, routes: list[str], window: evidences.Window, fade: float
+        self, routes: list[str], window: evidences.Window, decay: float
     ) -> None:
-        """Add all routes' strata to one more case.
+        """Add all routes' strata to the comparison over all routes.
 
-        A service with little traffic may not show a fault on any one route
-        in time, though all its routes together do. The strata stay apart,
-        so routes that differ are not mixed.
+        With little traffic the evidence of a fault may not suffice in time on
+        any single route, but does on all routes together. The strata stay
+        separate, so routes that differ are not mixed.
         """
-        pooled = self.cases.setdefault(ALL_ROUTES, RouteCase())
-        pooled.old.fade(fade)
-        pooled.new.fade(fade)
+        pooled = self.by_route.setdefault(ALL_ROUTES, RouteComparison())
+        pooled.old.decay(decay)
+        pooled.new.decay(decay)
         for route in routes:
-            slow_bucket = self.cases[route].slow_bucket
+            slow_bucket = self.by_route[route].slow_bucket
             for old, new in self._strata(route, window):
                 self._add_stratum(pooled, old, new, slow_bucket)
 
     def _add_route(
         self,
-        case: RouteCase,
+        comparison: RouteComparison,
         route: str,
         window: evidences.Window,
-        fade: float,
+        decay: float,
     ) -> None:
-        case.old.fade(fade)
-        case.new.fade(fade)
+        comparison.old.decay(decay)
+        comparison.new.decay(decay)
         for old, new in self._strata(route, window):
-            self._add_stratum(case, old, new, case.slow_bucket)
-        self._learn_slowness(case)
+            self._add_stratum(comparison, old, new, comparison.slow_bucket)
+        self._update_slow_bucket(comparison)
 
     def _strata(
         self, route: str, window: evidences.Window
     ) -> list[tuple[evidences.Counts, evidences.Counts]]:
-        """Return a route's counts of both versions by failure domain."""
+        """Return a route's old and new counts, by failure domain."""
         domains = {key.domain for key in window if key.route == route}
         none = evidences.Counts()
         pairs = []
@@ -212,93 +213,101 @@
 
     def _add_stratum(
         self,
-        case: RouteCase,
+        comparison: RouteComparison,
         old: evidences.Counts,
         new: evidences.Counts,
         slow_bucket: int,
     ) -> None:
-        case.failures.add(
+        comparison.failures.add(
             new.failures, new.requests, old.failures, old.requests
         )
         if slow_bucket >= 0:
-            case.slowness.add(
+            comparison.slowness.add(
                 latency.count_at_least(new.latencies, slow_bucket),
                 sum(new.latencies.values()),
                 latency.count_at_least(old.latencies, slow_bucket),
                 sum(old.latencies.values()),
             )
-        if case.baseline is not None:
-            case.baseline.add(new.failures, new.requests)
-        case.old.merge(old)
-        case.new.merge(new)
-        case.old_ever.merge(old)
-        case.new_ever += sum(new.latencies.values())
+        if comparison.baseline is not None:
+            comparison.baseline.add(new.failures, new.requests)
+        comparison.old.merge(old)
+        comparison.new.merge(new)
+        comparison.old_total.merge(old)
+        comparison.new_latency_count += sum(new.latencies.values())
 
-    def _learn_slowness(self, case: RouteCase) -> None:
-        """Set what counts as slow, from the old version alone.
+    def _update_slow_bucket(self, comparison: RouteComparison) -> None:
+        """Set the latency that counts as slow, from the old version alone.
 
-        The bound is fixed before the windows that it judges; drawing it
+        The bound is fixed before the windows that it applies to; taking it
         from the same requests would bias the test.
         """
-        if sum(case.old_ever.latencies.values()) < LEARN_LATENCIES:
+        if sum(comparison.old_total.latencies.values()) < MIN_LATENCIES:
             return
         quantile = latency.quantile_bucket(
-            case.old_ever.latencies, SLOW_QUANTILE
+            comparison.old_total.latencies, SLOW_QUANTILE
         )
-        case.slow_bucket = quantile + SLOW_BUCKETS
+        comparison.slow_bucket = quantile + SLOW_BUCKETS
 
-    def _judge_failures(self, route: str, case: RouteCase) -> Verdict | None:
-        found = case.failures.evidence
-        if found < self.threshold:
+    def _compare_failures(
+        self, route: str, comparison: RouteComparison
+    ) -> Verdict | None:
+        evidence = comparison.failures.evidence
+        if evidence < self.threshold:
             return None
-        new_rate = _rate(case.new)
-        old_rate = _rate(case.old)
+        new_rate = _rate(comparison.new)
+        old_rate = _rate(comparison.old)
         if new_rate - old_rate < self.tolerance:
             return None
         detail = f"{new_rate:.1%} against {old_rate:.1%}"
-        return Verdict(route, FAILURES, detail, found)
+        return Verdict(route, FAILURES, detail, evidence)
 
-    def _judge_latency(self, route: str, case: RouteCase) -> Verdict | None:
-        found = case.slowness.evidence
-        if found < self.threshold:
+    def _compare_latency(
+        self, route: str, comparison: RouteComparison
+    ) -> Verdict | None:
+        evidence = comparison.slowness.evidence
+        if evidence < self.threshold:
             return None
-        new_tail = latency.quantile_bucket(case.new.latencies, TAIL_QUANTILE)
-        old_tail = latency.quantile_bucket(case.old.latencies, TAIL_QUANTILE)
+        new_tail = latency.quantile_bucket(
+            comparison.new.latencies, TAIL_QUANTILE
+        )
+        old_tail = latency.quantile_bucket(
+            comparison.old.latencies, TAIL_QUANTILE
+        )
         if new_tail - old_tail < TAIL_BUCKETS:
             return None
         new_ms = latency.bucket_floor_us(new_tail) / 1000
         old_ms = latency.bucket_floor_us(old_tail) / 1000
         detail = f"p95 {new_ms:.1f} ms against {old_ms:.1f} ms"
-        return Verdict(route, LATENCY, detail, found)
+        return Verdict(route, LATENCY, detail, evidence)
 
     # Without the old version's traffic
 
     def begin_watch(self) -> None:
-        """Judge against the old version's past from now on."""
+        """Compare with the old version's past counts from now on."""
         self.watching = True
-        for case in self.cases.values():
-            self._watch_case(case)
-            case.new = evidences.Counts()
-
-    def begin_clearing(self) -> None:
-        """Ask for evidence in the version's favour from now on."""
-        pooled = self.cases.get(ALL_ROUTES, RouteCase())
-        base = _base_rate(pooled.old_ever)
+        for comparison in self.by_route.values():
+            self._watch_route(comparison)
+            comparison.new = evidences.Counts()
+
+    def begin_clearance(self) -> None:
+        """Start collecting evidence in the new version's favor."""
+        pooled = self.by_route.get(ALL_ROUTES, RouteComparison())
+        base = _base_rate(pooled.old_total)
         self.clearance = sequential.Clearance(
-            base, min(base + CLEAR_ALARM, 0.95), CLEAR_EVIDENCE
+            base, min(base + CLEARANCE_FAULT_MARGIN, 0.95), CLEARANCE_EVIDENCE
         )
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether evidence says that the version is in order."""
+        """Tell whether the evidence clears the new version."""
         return self.clearance is not None and self.clearance.is_clear
 
     @property
-    def is_doubtful(self) -> bool:
-        """Tell whether evidence speaks against it more than for it."""
+    def is_unfavorable(self) -> bool:
+        """Tell whether more evidence is against the version than for it."""
         return self.clearance is not None and self.clearance.sum < 0
 
-    def _clear(self, window: evidences.Window) -> None:
+    def _add_to_clearance(self, window: evidences.Window) -> None:
         failures = requests = 0.0
         for key, counts in window.items():
             if key.version == self.new_version:
@@ -306,112 +315,124 @@
                 requests += counts.requests
         self.clearance.add(failures, requests)
 
-    def _watch_new_cases(self) -> None:
-        """Watch routes of which this judge has only just heard.
+    def _watch_new_routes(self) -> None:
+        """Start the watch of routes that were first reported during it.
 
-        A new leader starts in the midst of the watch and knows nothing
-        until the proxies' cumulative reports arrive. Without this it would
-        suspect nothing, and a fault that comes late would stay. What these
-        reports tell of the new version counts.
+        A leader that takes over during the watch has no counts until the
+        proxies' cumulative reports arrive. Without this it would have no
+        baseline and miss a late fault. The new version's counts in these
+        reports are kept.
         """
-        for case in self.cases.values():
-            if case.baseline is None and case.old_ever.requests:
-                self._watch_case(case)
+        for comparison in self.by_route.values():
+            if comparison.baseline is None and comparison.old_total.requests:
+                self._watch_route(comparison)
 
-    def _watch_case(self, case: RouteCase) -> None:
-        case.reference = self._reference(case)
-        base = _base_rate(case.reference)
-        alarm = min(base + BASE_ALARM, 0.95)
-        case.baseline = sequential.BaselineDetector(base, alarm)
+    def _watch_route(self, comparison: RouteComparison) -> None:
+        comparison.reference = self._reference(comparison)
+        base = _base_rate(comparison.reference)
+        alarm = min(base + BASELINE_ALARM_MARGIN, 0.95)
+        comparison.baseline = sequential.BaselineDetector(base, alarm)
 
-    def _reference(self, case: RouteCase) -> evidences.Counts:
+    def _reference(self, comparison: RouteComparison) -> evidences.Counts:
         """Return the old version's counts that the watch compares with.
 
-        After a comparison these are what it showed in it: what slows every
-        target down goes on, and measured against earlier times it would
-        bring on one comparison after the other until the deadline is past.
+        After a comparison these are the counts from that comparison. A cause
+        that slows every target down usually persists; compared with earlier
+        counts it would trigger one comparison after the other until the
+        deadline has passed.
         """
-        recent = sum(case.old.latencies.values())
-        if self.compared and recent >= LEARN_LATENCIES:
-            return dataclasses.replace(case.old)
-        return case.old_ever
-
-    def suspects(self) -> Suspicion | None:
-        """Return why the old version should be asked again, if it should."""
-        for route, case in self.cases.items():
-            if case.baseline is None or route == ALL_ROUTES:
+        recent = sum(comparison.old.latencies.values())
+        if self.was_compared and recent >= MIN_LATENCIES:
+            return dataclasses.replace(comparison.old)
+        return comparison.old_total
+
+    def suspicion(self) -> Suspicion | None:
+        """Return the first suspicion during the watch, None if none."""
+        for route, comparison in self.by_route.items():
+            if comparison.baseline is None or route == ALL_ROUTES:
                 continue
-            if case.baseline.sum >= BASE_EVIDENCE:
-                return Suspicion(route, FAILURES, f"{_rate(case.new):.1%}")
-            if self._tail_grew(case):
+            if comparison.baseline.sum >= BASELINE_EVIDENCE:
+                return Suspicion(
+                    route, FAILURES, f"{_rate(comparison.new):.1%}"
+                )
+            if self._tail_grew(comparison):
                 return Suspicion(route, LATENCY, "beyond the old version's")
         return None
 
-    def _tail_grew(self, case: RouteCase) -> bool:
-        if sum(case.new.latencies.values()) < LEARN_LATENCIES:
+    def _tail_grew(self, comparison: RouteComparison) -> bool:
+        if sum(comparison.new.latencies.values()) < MIN_LATENCIES:
             return False
-        tail = latency.quantile_bucket(case.new.latencies, SLOW_QUANTILE)
-        base = latency.quantile_bucket(case.reference.latencies, SLOW_QUANTILE)
+        tail = latency.quantile_bucket(comparison.new.latencies, SLOW_QUANTILE)
+        base = latency.quantile_bucket(
+            comparison.reference.latencies, SLOW_QUANTILE
+        )
         return base >= 0 and tail - base >= TAIL_BUCKETS
 
     def leans_against(self) -> bool:
-        """Tell whether half of the evidence that condemns is there."""
+        """Tell whether a test has half of the evidence for a verdict."""
         half = self.threshold / 2
         return any(
-            max(case.failures.evidence, case.slowness.evidence) >= half
-            for case in self.cases.values()
+            max(comparison.failures.evidence, comparison.slowness.evidence)
+            >= half
+            for comparison in self.by_route.values()
         )
 
     def begin_compare(self) -> None:
-        """Forget the alarms; both versions serve side by side again.
+        """Reset the tests; both versions serve side by side again.
 
-        A comparison lasts seconds where a move lasts minutes, so less
-        evidence keeps the rate of false alarms.
+        A comparison lasts seconds and a move minutes, so a lower threshold
+        gives the same rate of false alarms.
         """
         self.watching = False
         self.clearance = None
-        self.compared = True
+        self.was_compared = True
         self.threshold = min(self.threshold, self.compare_threshold)
-        for case in self.cases.values():
-            case.baseline = None
-            case.failures = sequential.Detector()
-            case.slowness = sequential.Detector()
-            case.new = evidences.Counts()
-            case.old = evidences.Counts()
-
-    def seen(self) -> dict[str, int]:
-        """Return how many requests of the new version each route had.
-
-        Those of cold targets are left out: their latency is not judged, so
-        a slow version would pass its first steps unseen.
+        for comparison in self.by_route.values():
+            comparison.baseline = None
+            comparison.failures = sequential.Detector()
+            comparison.slowness = sequential.Detector()
+            comparison.new = evidences.Counts()
+            comparison.old = evidences.Counts()
+
+    def new_request_counts(self) -> dict[str, int]:
+        """Return the number of new-version requests by route.
+
+        Requests to cold targets are left out: their latency is not compared,
+        so a slow version would pass its first steps undetected.
         """
         return {
-            route: case.new_ever
-            for route, case in self.cases.items()
+            route: comparison.new_latency_count
+            for route, comparison in self.by_route.items()
             if route != ALL_ROUTES
         }
 
-    def answered_ms(self) -> float:
-        """Return in what time nearly all of the old version's requests end.
+    def old_latency_ms(self) -> float:
+        """Return the old version's latency at the 0.9 quantile.
 
-        A request that fails is heard of only when it ends.
+        It is 0 if no latency is known. It adds to the detection delay, since
+        a failure is reported only when the request ends.
         """
-        pooled = self.cases.get(ALL_ROUTES)
-        latencies = pooled.old_ever.latencies if pooled else {}
-        most = latency.quantile_bucket(latencies, SLOW_QUANTILE)
-        return latency.bucket_floor_us(most) / 1000 if most >= 0 else 0.0
+        pooled = self.by_route.get(ALL_ROUTES)
+        latencies = pooled.old_total.latencies if pooled else {}
+        p90_bucket = latency.quantile_bucket(latencies, SLOW_QUANTILE)
+        return (
+            latency.bucket_floor_us(p90_bucket) / 1000
+            if p90_bucket >= 0
+            else 0.0
+        )
 
-    def old_seen(self) -> dict[str, int]:
-        """Return how many requests of the old version each route had."""
+    def old_request_counts(self) -> dict[str, int]:
+        """Return the number of old-version requests by route."""
         return {
-            route: case.old_ever.requests for route, case in self.cases.items()
+            route: comparison.old_total.requests
+            for route, comparison in self.by_route.items()
         }
 
 
 def _base_rate(reference: evidences.Counts) -> float:
-    """Return the rate of failures that is in order, never quite 0 or 1."""
+    """Return the failure rate of a good version, never exactly 0 or 1."""
     rate = (reference.failures + 0.5) / (reference.requests + 50)
-    return min(rate + BASE_TOLERANCE, 0.9)
+    return min(rate + BASELINE_TOLERANCE, 0.9)
 
 
 def _rate(counts: evidences.Counts) -> float:
@@ -419,13 +440,13 @@
 
 
 def threshold_for(false_alarms: float, windows: int) -> float:
-    """Return the evidence to ask for.
+    """Return the logarithm of the evidence that a verdict needs.
 
     A CUSUM of likelihood ratios crosses ``h`` by chance at most about once
     in ``exp(h)`` windows (Lorden, 1971).
 
     Args:
-        false_alarms: Share of good versions that may be condemned.
-        windows: Windows that a move lasts.
+        false_alarms: Share of good versions that may be rejected.
+        windows: Length of a move, in windows.
     """
     return math.log(windows / false_alarms)
--- a/libs/moves/src/trefoil_moves/knobs.py
+++ b/libs/moves/src/trefoil_moves/knobs.py
@@ -1,39 +1,38 @@
-"""Knobs of moves, in operators' terms."""
+"""Parameters of moves, in operators' terms."""
 
 import dataclasses
 import typing
 
 from trefoil_settings import settings as setting_store
 
-# A move below this can't take the steps of the longer ones: twelve steps of
+# A shorter move has no time for the steps of longer ones: twelve steps of
 # 2.5 s and the watch.
 SHORT_MOVE_MS = 60_000
-# No step before the share at risk: at a few hundred requests a second a
-# smaller one shows a fault only after half of the move.
+# No step below the share at risk: at a few hundred requests a second a smaller
+# share reveals a fault only after half of the move.
 SHORT_FIRST_PERMILLE = 100
 SHORT_GROWTH = 4.0
 SHORT_REQUESTS = 20
-# Three steps and the wait for the first targets fit into the span. Most of
-# it is spent at the share at risk, where a second costs little: what the
-# next share costs is missing when a fault shows only with all traffic.
+# Three steps and the wait for the first targets fit into the move. Most of it
+# is spent at the share at risk, where a second costs little exposure; what
+# larger shares use up is missing if a fault occurs only at full traffic.
 SHORT_TRIAL_SHARE = 0.19
 SHORT_STEP_SHARE = 0.04
 SHORT_PACE = 0.15
-# Two looks a second; a verdict then trails its evidence by 0.25 s on
-# average.
+# Two evaluations a second delay a verdict by 0.25 s on average.
 SHORT_WINDOW_MS = 500
-# Three windows: at a hundred requests a second a version four times slower
-# shows within two, and a version in order keeps time for its watch.
+# Three windows: at a hundred requests a second a version four times slower is
+# detected within two, and a good version has time left for its watch.
 SHORT_COMPARE_MS = 1500
-# A second with all the traffic is most of what a bad version may cost in a
-# move of seconds; the watch goes on by evidence.
+# A second at full traffic is most of what a bad version may cost in a move of
+# seconds. The watch continues beyond this until there is enough evidence.
 SHORT_WATCH_MS = 700
 WATCH_MS = 30_000
 RISK_PERMILLE = 80
 
 
-def usual_watch_ms(span_ms: int) -> int:
-    """Return how long the whole share is watched if nobody says so.
+def default_watch_ms(span_ms: int) -> int:
+    """Return the default length of the watch at full traffic.
 
     Args:
         span_ms: Time from the move's start to its deadline.
@@ -42,31 +41,31 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Knobs:
+class MoveParameters:
     """How careful moves are.
 
     Args:
         false_alarms: Share of good versions that may be taken back.
         tolerance: Difference of failure rates that does not matter.
         first_permille: Share of traffic at the first step.
-        step_growth: How many times the share grows at a step.
+        step_growth: Factor by which the share grows at each step.
         requests_per_step: Requests of the new version that a route must
-            have shown at a step before the next.
-        least_step_ms: Shortest time at a step.
-        least_trial_ms: Shortest time at the first one, if longer.
+            have at a step before the next one.
+        min_step_ms: Shortest time at a step.
+        min_trial_ms: Shortest time at the first step, if longer.
         pace: Share of the time to the deadline that the steps are spread
-            over; a fault that shows late then meets a smaller share.
-        longest_pace_ms: Longest time that the pace alone holds a step.
-        compare_ms: How long both versions serve side by side when a fault
-            shows after the whole share; up to three times as long while
-            the evidence leans against the new one.
-        window_ms: How often evidence is looked at.
-        compares_failures: Whether the old version is asked again when
-            failures show after the whole share; else the move is taken
-            back. Latency always has it asked again.
+            over; a fault that occurs late then affects a smaller share.
+        max_pace_ms: Longest time that the pace alone holds a step.
+        compare_ms: How long both versions serve side by side after a
+            suspicion at full traffic; up to three times as long while there
+            is evidence against the new one.
+        window_ms: Interval between evaluations of the evidence.
+        compare_failures: Whether failures at full traffic start a comparison
+            with the old version; otherwise the move is taken back. High
+            latency always starts a comparison.
         exposed_part: Part of its service's requests that a version may get
-            before a fault of it is seen; 1 for no bound.
-        exposed_requests: Requests that it may get besides.
+            before a fault in it is detected; 1 for no bound.
+        exposed_requests: Requests that it may get in addition.
     """
 
     false_alarms: float = 0.005
@@ -74,24 +73,24 @@
     first_permille: int = 8
     step_growth: float = 2.5
     requests_per_step: int = 30
-    least_step_ms: int = 2500
-    least_trial_ms: int = 0
+    min_step_ms: int = 2500
+    min_trial_ms: int = 0
     pace: float = 0.5
-    longest_pace_ms: int = 60_000
+    max_pace_ms: int = 60_000
     compare_ms: int = 12_000
     window_ms: int = 1000
-    compares_failures: bool = True
+    compare_failures: bool = True
     exposed_part: float = 1.0
     exposed_requests: float = 0.0
 
     @classmethod
     def from_profile(cls, profile: str) -> typing.Self:
-        """Return the knobs of a profile.
+        """Return the parameters of a profile.
 
         Args:
-            profile: ``in-time`` for users who weigh good versions done in
-                time, ``cautious`` for those who weigh bad ones taken back,
-                else ``balanced``.
+            profile: ``in-time`` if good versions should be done by the
+                deadline first of all, ``cautious`` if bad versions should be
+                taken back first of all, ``balanced`` otherwise.
         """
         if profile == "in-time":
             return cls(false_alarms=0.002)
@@ -99,12 +98,15 @@
             return cls(requests_per_step=60, pace=0.6)
         return cls()
 
-    def paced_for(self, span_ms: int) -> "Knobs":
-        """Return the knobs for a move that lasts some time as a whole.
+    def for_span(self, span_ms: int) -> "MoveParameters":
+        """Return the parameters for a move of a given length.
 
-        A move of seconds has no room for twelve small steps, nor for a long
-        comparison after the whole share: it goes from the share at risk by
-        three steps, each as long as its evidence needs.
+        A move of seconds has no time for twelve small steps, nor for a long
+        comparison at full traffic. It takes three steps from the share at
+        risk, each as long as its evidence needs.
+
+        Args:
+            span_ms: Time from the move's start to its deadline.
         """
         if span_ms >= SHORT_MOVE_MS:
             return self
@@ -113,19 +115,21 @@
             first_permille=SHORT_FIRST_PERMILLE,
             step_growth=SHORT_GROWTH,
             requests_per_step=SHORT_REQUESTS,
-            least_step_ms=int(span_ms * SHORT_STEP_SHARE),
-            least_trial_ms=int(span_ms * SHORT_TRIAL_SHARE),
+            min_step_ms=int(span_ms * SHORT_STEP_SHARE),
+            min_trial_ms=int(span_ms * SHORT_TRIAL_SHARE),
             pace=SHORT_PACE,
             window_ms=SHORT_WINDOW_MS,
             compare_ms=SHORT_COMPARE_MS,
-            compares_failures=False,
+            compare_failures=False,
         )
 
     @classmethod
-    def from_settings(cls, settings: setting_store.ControlSettings) -> "Knobs":
-        """Return a profile's knobs with those that are set apart."""
+    def from_settings(
+        cls, settings: setting_store.ControlSettings
+    ) -> "MoveParameters":
+        """Return the profile's parameters with the settings' overrides."""
         chosen = settings.moves
-        given = {
+        overrides = {
             "false_alarms": chosen.false_alarms,
             "tolerance": chosen.tolerance,
             "requests_per_step": chosen.requests_per_step,
@@ -135,6 +139,10 @@
             "exposed_requests": chosen.exposed_requests,
         }
         if chosen.first_share is not None:
-            given["first_permille"] = max(int(chosen.first_share * 10), 1)
-        kept = {name: v for name, v in given.items() if v is not None}
-        return dataclasses.replace(cls.from_profile(settings.profile), **kept)
+            overrides["first_permille"] = max(int(chosen.first_share * 10), 1)
+        set_overrides = {
+            name: v for name, v in overrides.items() if v is not None
+        }
+        return dataclasses.replace(
+            cls.from_profile(settings.profile), **set_overrides
+        )
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -1,10 +1,11 @@
-"""When the steps of a move are due, and when its version is good.
-
-Two ways, by whether operators bound what a version may cost. Without a bound
-steps follow evidence, spread over the time that is left. With one, time at a
-small share is cheap and time at the whole share is dear: the move waits at a
-share that it can pay for until the later steps just fit before the deadline,
-and its version is good only once requests at the whole share say so.
+"""When the steps of a move are due, and when its new version is accepted.
+
+There are two strategies, depending on whether operators bound the exposure.
+Without a bound, steps follow the evidence and are spread over the time that
+is left. With a bound, time at a small share is cheap and time at full traffic
+is expensive: the move waits at a share within the exposure budget until the
+later steps just fit before the deadline, and the version is accepted only
+once requests at full traffic have cleared it.
 """
 
 import dataclasses
@@ -13,260 +14,289 @@
 from trefoil_wire import messages
 
 from . import exposure as exposures
-from . import knobs as knob_store
+from . import knobs as move_parameters
 from . import phases
 
-WHOLE = exposures.WHOLE
-# Part of the time left that steps without a bound leave for a new leader.
+FULL_PERMILLE = exposures.FULL_PERMILLE
+# Part of the remaining time that is reserved for a change of leader.
 RAMP_RESERVE = 0.25
-LEANING_PATIENCE = 2
-# Another process leads, and has heard every proxy, within this.
+EARLY_WARNING_FACTOR = 2
+# Time until a new leader is elected and has received every proxy's report.
 LEADER_CHANGE_MS = 2000
-# A version that is clear is done this long before the deadline, others later.
-LAST_MS = 1200
-# The end is agreed, and operators who ask are told, within this.
-END_MS = 500
-# Below this a share shows too little of a version.
-LEAST_PERMILLE = 30
-LEANING = "much speaks against it, and no time is left to prove more"
-DOUBTFUL = "it got what it may get, and too many requests fail"
+# A version that was cleared is accepted this long before the deadline, others
+# later.
+CLEARED_END_MS = 1200
+# Time to commit the end of a move and to answer operators' queries about it.
+COMMIT_END_MS = 500
+# A smaller share yields too little evidence.
+MIN_PERMILLE = 30
+NO_TIME_REASON = "much speaks against it, and no time is left to prove more"
+BUDGET_SPENT_REASON = "it got what it may get, and too many requests fail"
 
 
 @dataclasses.dataclass(slots=True)
-class Standing:
-    """How a move stands at the moment of a decision.
+class MoveStatus:
+    """Evidence and time of a move at the moment of a decision.
 
     Args:
-        at_step_ms: How long its present step has lasted.
-        left_ms: Time to its deadline.
-        counted_ms: How long its requests have been counted.
-        seen_late_ms: How long a fault takes to be seen and taken back.
-        has_shown: Whether each route had enough requests at this step.
-        leans_against: Whether much speaks against the version already.
-        is_clear: Whether requests at the whole share speak for it.
-        is_doubtful: Whether they speak against it more than for it.
+        at_step_ms: How long the current step has lasted.
+        left_ms: Time to the deadline.
+        counted_ms: How long requests have been counted.
+        detection_delay_ms: Time from a fault to its rollback.
+        has_evidence: Whether each route had enough requests at this step.
+        leans_against: Whether there is half of the evidence for a verdict.
+        is_clear: Whether requests at full traffic cleared the version.
+        is_unfavorable: Whether they are more against it than for it.
     """
 
     at_step_ms: float
     left_ms: float
     counted_ms: float
-    seen_late_ms: float
-    has_shown: bool
+    detection_delay_ms: float
+    has_evidence: bool
     leans_against: bool
     is_clear: bool
-    is_doubtful: bool
+    is_unfavorable: bool
 
 
 class Pacing(typing.Protocol):
-    """What the conductor asks about shares and times."""
+    """Strategy of the move controller for shares and times."""
 
     def first_share(
-        self, move: messages.MoveRecord, standing: Standing
+        self, move: messages.MoveRecord, status: MoveStatus
     ) -> int:
         """Return the share of the first step, in permille."""
 
-    def next_share(self, move: messages.MoveRecord, standing: Standing) -> int:
-        """Return the share that is due now; the present one if none is."""
+    def next_share(self, move: messages.MoveRecord, status: MoveStatus) -> int:
+        """Return the permille that is due now, the current one if none."""
 
-    def is_good(self, move: messages.MoveRecord, standing: Standing) -> bool:
-        """Tell whether the watch after the whole share may end."""
+    def is_good(self, move: messages.MoveRecord, status: MoveStatus) -> bool:
+        """Tell whether the watch at full traffic may end in success."""
 
-    def doubt(self, move: messages.MoveRecord, standing: Standing) -> str:
-        """Return why the move is taken back without a verdict, if it is."""
+    def rollback_reason(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> str:
+        """Return why the move is taken back without a verdict, "" if not."""
 
 
 class EvenPacing:
     """Steps by evidence, spread evenly over the time to the deadline.
 
     Args:
-        knobs: How careful the move is.
+        parameters: How careful the move is.
     """
 
-    __slots__ = ("knobs",)
+    __slots__ = ("parameters",)
 
-    def __init__(self, knobs: knob_store.Knobs) -> None:
-        self.knobs = knobs
+    def __init__(self, parameters: move_parameters.MoveParameters) -> None:
+        self.parameters = parameters
 
     def first_share(
-        self, move: messages.MoveRecord, standing: Standing
+        self, move: messages.MoveRecord, status: MoveStatus
     ) -> int:
         """Return the share of the first step, in permille."""
-        return min(self.knobs.first_permille, move.risk_permille)
+        return min(self.parameters.first_permille, move.risk_permille)
 
-    def next_share(self, move: messages.MoveRecord, standing: Standing) -> int:
-        """Return a greater share once evidence or the time asks for it."""
-        if standing.at_step_ms < self.least_ms(move, standing.left_ms):
+    def next_share(self, move: messages.MoveRecord, status: MoveStatus) -> int:
+        """Return a larger share once evidence or time calls for it."""
+        if status.at_step_ms < self.min_duration_ms(move, status.left_ms):
             return move.permille
-        evenly_ms = standing.left_ms * (1 - RAMP_RESERVE)
-        patience_ms = max(evenly_ms / self._steps_left(move), 0)
-        shown = standing.has_shown
-        if standing.leans_against:
-            # More traffic now would meet what the next seconds may prove.
-            shown = False
-            patience_ms *= LEANING_PATIENCE
-        if shown or standing.at_step_ms >= patience_ms:
-            return self.grown(move)
+        available_ms = status.left_ms * (1 - RAMP_RESERVE)
+        max_step_ms = max(available_ms / self._steps_left(move), 0)
+        has_evidence = status.has_evidence
+        if status.leans_against:
+            # The next seconds may prove a fault that more traffic would hit.
+            has_evidence = False
+            max_step_ms *= EARLY_WARNING_FACTOR
+        if has_evidence or status.at_step_ms >= max_step_ms:
+            return self.larger_share(move)
         return move.permille
 
-    def is_good(self, move: messages.MoveRecord, standing: Standing) -> bool:
-        """Tell whether the watch has lasted as long as was asked."""
-        return standing.at_step_ms >= move.watch_ms
+    def is_good(self, move: messages.MoveRecord, status: MoveStatus) -> bool:
+        """Tell whether the watch has lasted as long as requested."""
+        return status.at_step_ms >= move.watch_ms
 
-    def doubt(self, move: messages.MoveRecord, standing: Standing) -> str:
-        """Return nothing: only a verdict takes the move back."""
+    def rollback_reason(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> str:
+        """Return an empty reason: only a verdict takes the move back."""
         return ""
 
-    def grown(self, move: messages.MoveRecord) -> int:
-        """Return the share after the present one."""
-        grown = int(move.permille * self.knobs.step_growth)
-        grown = max(grown, move.permille + 1)
+    def larger_share(self, move: messages.MoveRecord) -> int:
+        """Return the share after the current one, in permille."""
+        larger_share = int(move.permille * self.parameters.step_growth)
+        larger_share = max(larger_share, move.permille + 1)
         if move.permille < move.risk_permille:
-            return min(grown, move.risk_permille)
-        return min(grown, WHOLE)
-
-    def least_ms(self, move: messages.MoveRecord, left_ms: float) -> float:
-        """Return how long a step lasts even when its evidence is in."""
-        paced_ms = left_ms * self.knobs.pace / self._steps_left(move)
-        paced_ms = min(paced_ms, self.knobs.longest_pace_ms)
-        least_ms = self.knobs.least_step_ms
+            return min(larger_share, move.risk_permille)
+        return min(larger_share, FULL_PERMILLE)
+
+    def min_duration_ms(
+        self, move: messages.MoveRecord, left_ms: float
+    ) -> float:
+        """Return the least length of a step, even with enough evidence."""
+        paced_ms = left_ms * self.parameters.pace / self._steps_left(move)
+        paced_ms = min(paced_ms, self.parameters.max_pace_ms)
+        min_duration_ms = self.parameters.min_step_ms
         if move.phase == phases.TRIAL:
-            least_ms = max(least_ms, self.knobs.least_trial_ms)
-        return max(paced_ms, least_ms)
+            min_duration_ms = max(
+                min_duration_ms, self.parameters.min_trial_ms
+            )
+        return max(paced_ms, min_duration_ms)
 
     def _steps_left(self, move: messages.MoveRecord) -> int:
         steps = 1
         share = float(move.permille or 1)
-        while share < WHOLE:
-            share *= self.knobs.step_growth
+        while share < FULL_PERMILLE:
+            share *= self.parameters.step_growth
             steps += 1
         return steps
 
 
 class BoundedPacing:
-    """Steps as late as the deadline allows, within what they may cost.
+    """Steps as late as the deadline allows, within the exposure budget.
 
-    The load that this answers: a version that is well for seconds, or on a
-    part of the traffic, and fails later. What it got by then was spent at a
-    small share; with all the traffic it is for a short time only, and watched
-    until requests speak for it.
+    This limits the harm of a version that works for seconds, or on a part of
+    the traffic, and fails later. It gets requests at a small share for most
+    of the move and has all the traffic for a short time only, under a watch
+    that lasts until the evidence clears it.
 
     Args:
-        knobs: How careful the move is.
-        exposure: The account of what the version got and may get.
+        parameters: How careful the move is.
+        exposure: The exposure budget of the new version.
     """
 
-    __slots__ = ("knobs", "exposure", "even")
+    __slots__ = ("parameters", "exposure", "even_pacing")
 
     def __init__(
-        self, knobs: knob_store.Knobs, exposure: exposures.Exposure
+        self,
+        parameters: move_parameters.MoveParameters,
+        exposure: exposures.Exposure,
     ) -> None:
-        self.knobs = knobs
+        self.parameters = parameters
         self.exposure = exposure
-        self.even = EvenPacing(knobs)
+        self.even_pacing = EvenPacing(parameters)
 
     def first_share(
-        self, move: messages.MoveRecord, standing: Standing
+        self, move: messages.MoveRecord, status: MoveStatus
     ) -> int:
         """Return the share of the first step, in permille."""
-        share = self.even.first_share(move, standing)
-        return min(share, max(self._payable(move, standing), LEAST_PERMILLE))
-
-    def next_share(self, move: messages.MoveRecord, standing: Standing) -> int:
-        """Return a greater share once the later steps would not fit else."""
-        if standing.at_step_ms < self.even.least_ms(move, standing.left_ms):
+        share = self.even_pacing.first_share(move, status)
+        return min(
+            share, max(self._affordable_permille(move, status), MIN_PERMILLE)
+        )
+
+    def next_share(self, move: messages.MoveRecord, status: MoveStatus) -> int:
+        """Return a larger share once the later steps need the time left."""
+        if status.at_step_ms < self.even_pacing.min_duration_ms(
+            move, status.left_ms
+        ):
             return move.permille
-        if standing.leans_against:
+        if status.leans_against:
             return move.permille
-        if self._waiting_ms(move, standing) <= 0:
+        if self._until_due_ms(move, status) <= 0:
             return self._shares_above(move)[0]
-        return self._small_share(move, standing)
+        return self._share_below_risk(move, status)
 
-    def is_good(self, move: messages.MoveRecord, standing: Standing) -> bool:
-        """Tell whether requests at the whole share say that it is in order.
+    def is_good(self, move: messages.MoveRecord, status: MoveStatus) -> bool:
+        """Tell whether requests at full traffic have cleared the version.
 
-        A watch that ends by its clock takes bad versions for good before
-        their first failures are heard of, and nobody watches a version that
-        is done. So the watch lasts nearly to the deadline; there the date
-        that operators set counts, if nothing speaks against the version.
+        A watch of fixed length accepts bad versions before their first
+        failures are reported, and an accepted version is no longer watched.
+        So the watch lasts until shortly before the deadline. At that point
+        the version is accepted unless the evidence is against it, since
+        operators set the deadline because the date matters.
         """
-        if standing.at_step_ms < move.watch_ms:
+        if status.at_step_ms < move.watch_ms:
             return False
-        if standing.left_ms <= END_MS:
-            return not standing.is_doubtful
-        return standing.is_clear and standing.left_ms <= LAST_MS
-
-    def doubt(self, move: messages.MoveRecord, standing: Standing) -> str:
-        """Return why the move is taken back without a verdict, if it is.
-
-        Half of the evidence that condemns is enough where the time left is
-        too short for the steps and a watch that could tell more. A few
-        failures are, where the version got what a bad one may get.
+        if status.left_ms <= COMMIT_END_MS:
+            return not status.is_unfavorable
+        return status.is_clear and status.left_ms <= CLEARED_END_MS
+
+    def rollback_reason(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> str:
+        """Return why the move is taken back without a verdict, "" if not.
+
+        Half of the evidence for a verdict is enough if too little time is
+        left for the steps and a watch that could yield more evidence. A few
+        failures are enough once the exposure budget is spent.
         """
         if move.phase == phases.WATCH:
-            last = self._is_spent(standing) or standing.left_ms <= END_MS
-            lasted = standing.at_step_ms >= move.watch_ms
-            doubtful = standing.is_doubtful and last and lasted
-            return DOUBTFUL if doubtful else ""
-        late_ms = self._ahead_ms(move) / LEANING_PATIENCE
-        late = standing.left_ms <= late_ms
-        return LEANING if late and standing.leans_against else ""
-
-    def _is_spent(self, standing: Standing) -> bool:
-        """Tell whether a fault seen from now on would cost too much."""
-        left_ms = self.exposure.left_ms(standing.counted_ms)
-        return left_ms <= standing.seen_late_ms
-
-    def _small_share(
-        self, move: messages.MoveRecord, standing: Standing
+            is_last_chance = (
+                self._is_budget_spent(status)
+                or status.left_ms <= COMMIT_END_MS
+            )
+            has_lasted = status.at_step_ms >= move.watch_ms
+            rejected = status.is_unfavorable and is_last_chance and has_lasted
+            return BUDGET_SPENT_REASON if rejected else ""
+        cutoff_ms = self._remaining_steps_ms(move) / EARLY_WARNING_FACTOR
+        is_late = status.left_ms <= cutoff_ms
+        return NO_TIME_REASON if is_late and status.leans_against else ""
+
+    def _is_budget_spent(self, status: MoveStatus) -> bool:
+        """Tell whether a fault from now on would exceed the budget."""
+        left_ms = self.exposure.remaining_ms(status.counted_ms)
+        return left_ms <= status.detection_delay_ms
+
+    def _share_below_risk(
+        self, move: messages.MoveRecord, status: MoveStatus
     ) -> int:
-        """Return the next share up to the one at risk, if it can be paid."""
+        """Return the next share up to the one at risk, if affordable."""
         if move.permille >= move.risk_permille:
             return move.permille
-        least_ms = self.even.least_ms(move, standing.left_ms)
-        if self._waiting_ms(move, standing) < least_ms:
-            # The next share would last beyond the time when it is due.
+        min_duration_ms = self.even_pacing.min_duration_ms(
+            move, status.left_ms
+        )
+        if self._until_due_ms(move, status) < min_duration_ms:
+            # The next share would last beyond the time of the later steps.
             return move.permille
-        share = self.even.next_share(move, standing)
-        payable = self._payable(move, standing)
-        return share if share <= payable else move.permille
+        share = self.even_pacing.next_share(move, status)
+        affordable = self._affordable_permille(move, status)
+        return share if share <= affordable else move.permille
 
-    def _payable(self, move: messages.MoveRecord, standing: Standing) -> int:
-        """Return the share that can be paid for until later steps are due."""
-        waiting_ms = self._waiting_ms(move, standing)
+    def _affordable_permille(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> int:
+        """Return the permille that the budget allows until later steps."""
+        waiting_ms = self._until_due_ms(move, status)
         if waiting_ms <= 0:
             return move.risk_permille
-        return int(self._spare_ms(move, standing) / waiting_ms * WHOLE)
+        return int(
+            self._headroom_ms(move, status) / waiting_ms * FULL_PERMILLE
+        )
 
-    def _waiting_ms(
-        self, move: messages.MoveRecord, standing: Standing
+    def _until_due_ms(
+        self, move: messages.MoveRecord, status: MoveStatus
     ) -> float:
         """Return the time until the later steps are due."""
-        return standing.left_ms - self._ahead_ms(move)
+        return status.left_ms - self._remaining_steps_ms(move)
 
-    def _spare_ms(
-        self, move: messages.MoveRecord, standing: Standing
+    def _headroom_ms(
+        self, move: messages.MoveRecord, status: MoveStatus
     ) -> float:
-        """Return what is left beyond the cost of the steps to the whole."""
-        between = sum(self._shares_above(move)[:-1]) / WHOLE
-        later_ms = between * self.knobs.least_step_ms + move.watch_ms
-        left_ms = self.exposure.left_ms(standing.counted_ms)
-        return left_ms - later_ms - standing.seen_late_ms
-
-    def _ahead_ms(self, move: messages.MoveRecord) -> float:
-        """Return the time that the steps to the whole and its watch take."""
-        between = len(self._shares_above(move)) - 1
-        steps_ms = between * self.knobs.least_step_ms
+        """Return the budget beyond the cost of the steps to full traffic."""
+        share_sum = sum(self._shares_above(move)[:-1]) / FULL_PERMILLE
+        later_ms = share_sum * self.parameters.min_step_ms + move.watch_ms
+        left_ms = self.exposure.remaining_ms(status.counted_ms)
+        return left_ms - later_ms - status.detection_delay_ms
+
+    def _remaining_steps_ms(self, move: messages.MoveRecord) -> float:
+        """Return the time for the steps to full traffic and the watch."""
+        steps_between = len(self._shares_above(move)) - 1
+        steps_ms = steps_between * self.parameters.min_step_ms
         return steps_ms + move.watch_ms + self._reserve_ms()
 
     def _reserve_ms(self) -> float:
-        """Return the time kept for a change of leader."""
+        """Return the time reserved for a change of leader."""
         return min(LEADER_CHANGE_MS, self.exposure.span_ms * RAMP_RESERVE)
 
     def _shares_above(self, move: messages.MoveRecord) -> list[int]:
-        """Return the shares from the one at risk to the whole."""
+        """Return the shares above the one at risk, up to full traffic."""
         shares = []
         share = max(move.permille, move.risk_permille)
-        while share < WHOLE:
-            share = min(int(share * self.knobs.step_growth), WHOLE)
+        while share < FULL_PERMILLE:
+            share = min(
+                int(share * self.parameters.step_growth), FULL_PERMILLE
+            )
             shares.append(share)
-        return shares or [WHOLE]
+        return shares or [FULL_PERMILLE]
--- a/libs/moves/src/trefoil_moves/phases.py
+++ b/libs/moves/src/trefoil_moves/phases.py
@@ -1,4 +1,4 @@
-"""Phases of a move, as they stand in the agreed state."""
+"""Phases of a move, as recorded in the replicated state."""
 
 WAITING = "waiting"
 TRIAL = "trial"
--- a/libs/moves/src/trefoil_moves/rulings.py
+++ b/libs/moves/src/trefoil_moves/rulings.py
@@ -1,7 +1,7 @@
-"""What each kind of agreed command does to the agreed state.
+"""Effects of each kind of committed command on the replicated state.
 
-Every control process runs the same commands in the same order and must come
-to the same state, so nothing here reads a clock or draws at random.
+Every control process runs the same commands in the same order and must reach
+the same state, so nothing here reads a clock or uses random numbers.
 """
 
 import dataclasses
@@ -22,8 +22,14 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Ruling:
-    """What came of a command, and what its operator is told."""
+class CommandResult:
+    """Result of a command, as reported to its operator.
+
+    Args:
+        outcome: A value of ``messages.Outcome``.
+        reason: Explanation for the operator.
+        cause: A value of ``messages.Cause``.
+    """
 
     outcome: int
     reason: str
@@ -36,9 +42,18 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
-    """Run one kind of command and return its outcome and reason."""
-    return Ruling(Outcome.NOT_RUN, f"not a command: {type(body).__name__}")
+) -> CommandResult:
+    """Apply a command's body to the state and return the result.
+
+    Args:
+        body: The unpacked command, whose type selects the handler.
+        state: The replicated state.
+        index: Index of the log entry, the revision of what changes.
+        command: The command that carries the body.
+    """
+    return CommandResult(
+        Outcome.NOT_RUN, f"not a command: {type(body).__name__}"
+    )
 
 
 @run.register(messages.ApplyConfiguration)
@@ -47,48 +62,48 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     current = configuration_revision(state.items)
     if body.expected_revision and body.expected_revision != current:
-        return Ruling(
+        return CommandResult(
             Outcome.NOT_RUN,
             f"expected revision {body.expected_revision}, "
             f"but {current} is in force",
             messages.Cause.CONFLICT,
         )
     if body.document is not None:
-        refused = _document_refusal(state.document, body.document)
-        if refused is not None:
-            return refused
+        refusal = _document_refusal(state.document, body.document)
+        if refusal is not None:
+            return refusal
     candidate = state.items.copy()
     _put_configuration(candidate, index, body)
-    found = check.problems(candidate) + _move_problems(state, candidate)
-    if found:
-        return Ruling(
-            Outcome.NOT_RUN, "; ".join(found), messages.Cause.INVALID
+    problems = check.problems(candidate) + _move_problems(state, candidate)
+    if problems:
+        return CommandResult(
+            Outcome.NOT_RUN, "; ".join(problems), messages.Cause.INVALID
         )
     state.items = candidate
     state.document = body.document
-    return Ruling(Outcome.DONE, f"revision {candidate.revision}")
+    return CommandResult(Outcome.DONE, f"revision {candidate.revision}")
 
 
 def _document_refusal(
     current: messages.Document | None, offered: messages.Document
-) -> Ruling | None:
-    """Return why a numbered document may not follow the one in force.
+) -> CommandResult | None:
+    """Return why a numbered document may not replace the current one.
 
-    Two writers who build on the same document would else overwrite each
-    other; the second is told that another one is in force.
+    Otherwise two writers that build on the same document would overwrite
+    each other; the second is told that another document is in force.
     """
     number = current.number if current is not None else 0
     if offered.base != number:
-        return Ruling(
+        return CommandResult(
             Outcome.NOT_RUN,
             f"builds on document {offered.base}, but {number} is in force",
             messages.Cause.CONFLICT,
         )
     if offered.number <= number:
-        return Ruling(
+        return CommandResult(
             Outcome.NOT_RUN,
             f"document {offered.number} is not above {number}",
             messages.Cause.INVALID,
@@ -97,7 +112,7 @@
 
 
 def configuration_revision(items: item_store.Items) -> int:
-    """Return the revision at which services or routes last changed."""
+    """Return the revision at which the configuration last changed."""
     return max(
         (
             item.revision
@@ -127,9 +142,11 @@
     names = {service.name for service in body.services}
     for key, item in list(items.by_key.items()):
         kind, _, name = key.partition("/")
-        owned = kind + "/" in item_store.OF_DOCUMENT
-        orphan = kind + "/" == item_store.SHARES and name not in names
-        if not item.deleted and (orphan or (owned and key not in wanted)):
+        is_in_document = kind + "/" in item_store.OF_DOCUMENT
+        is_orphaned = kind + "/" == item_store.SHARES and name not in names
+        if not item.deleted and (
+            is_orphaned or (is_in_document and key not in wanted)
+        ):
             items.delete(index, key)
     for key, record in wanted.items():
         if items.get(key) != record:
@@ -139,15 +156,15 @@
 def _move_problems(
     state: "states.State", candidate: item_store.Items
 ) -> list[str]:
-    found = []
+    problems = []
     for move in state.running_moves():
         key = item_store.SERVICE + move.service_name
         if candidate.get(key) is None:
-            found.append(
+            problems.append(
                 f"service {move.service_name}: a move runs on it; "
                 "reverse it first"
             )
-    return found
+    return problems
 
 
 @run.register(messages.StartMove)
@@ -156,29 +173,31 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     name = body.service_name
     shares = state.items.get(item_store.SHARES + name)
     if shares is None:
-        return Ruling(Outcome.NOT_RUN, f"there is no service {name}")
+        return CommandResult(Outcome.NOT_RUN, f"there is no service {name}")
     running = state.running_move(name)
     if running is not None:
-        return Ruling(
+        return CommandResult(
             Outcome.NOT_RUN, f"move {running.move_id} runs on {name}"
         )
     present = {s.version for s in shares.shares if s.permille}
     from_version = body.from_version or version_in_force(shares)
     if from_version not in present:
-        there = ", ".join(sorted(present))
-        return Ruling(Outcome.NOT_RUN, f"{name} is at version {there}")
+        present_versions = ", ".join(sorted(present))
+        return CommandResult(
+            Outcome.NOT_RUN, f"{name} is at version {present_versions}"
+        )
     if body.to_version == from_version:
-        return Ruling(Outcome.NOT_RUN, "both versions are the same")
+        return CommandResult(Outcome.NOT_RUN, "both versions are the same")
     deadline_ms = body.deadline_ms
     if body.duration_ms:
         deadline_ms = state.clock_ms + body.duration_ms
     span_ms = deadline_ms - state.clock_ms
     if span_ms <= 0:
-        return Ruling(Outcome.NOT_RUN, "the deadline has passed")
+        return CommandResult(Outcome.NOT_RUN, "the deadline has passed")
     move = messages.MoveRecord(
         move_id=command.command_id,
         service_name=name,
@@ -186,7 +205,7 @@
         to_version=body.to_version,
         deadline_ms=deadline_ms,
         risk_permille=body.risk_permille or knobs.RISK_PERMILLE,
-        watch_ms=body.watch_ms or knobs.usual_watch_ms(span_ms),
+        watch_ms=body.watch_ms or knobs.default_watch_ms(span_ms),
         started_ms=state.clock_ms,
         permille=0,
         phase=phases.WAITING,
@@ -196,12 +215,12 @@
         history=[],
     )
     state.moves[move.move_id] = move
-    state.note(move, "started")
-    return Ruling(Outcome.DONE, f"move {move.move_id} runs")
+    state.add_history_line(move, "started")
+    return CommandResult(Outcome.DONE, f"move {move.move_id} runs")
 
 
 def version_in_force(shares: messages.Shares) -> str:
-    """Return the version with the greatest share of a service."""
+    """Return the version with the largest share of a service."""
     return max(shares.shares, key=lambda share: share.permille).version
 
 
@@ -211,20 +230,20 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
-    """Take a version that targets announced for the one in force.
+) -> CommandResult:
+    """Record an announced version as the one in force.
 
-    A document need not name versions. Without an agreed one, targets of a
-    version that no move has brought in yet would get traffic as soon as
-    they start.
+    A document need not name versions. Without a recorded one, targets of a
+    version that no move has introduced yet would get traffic as soon as they
+    start.
     """
     shares = state.items.get(item_store.SHARES + body.service_name)
     if shares is None or version_in_force(shares):
-        return Ruling(Outcome.NOT_RUN, "a version is in force already")
+        return CommandResult(Outcome.NOT_RUN, "a version is in force already")
     if state.running_move(body.service_name) is not None:
-        return Ruling(Outcome.NOT_RUN, "a move runs")
+        return CommandResult(Outcome.NOT_RUN, "a move runs")
     state.set_shares(index, body.service_name, {body.version: 1000}, "")
-    return Ruling(Outcome.DONE, f"version {body.version}")
+    return CommandResult(Outcome.DONE, f"version {body.version}")
 
 
 @run.register(messages.StepMove)
@@ -233,10 +252,10 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     move = state.moves.get(body.move_id)
     if move is None or move.outcome:
-        return Ruling(Outcome.NOT_RUN, "no such move runs")
+        return CommandResult(Outcome.NOT_RUN, "no such move runs")
     if body.permille != move.permille:
         rest = 1000 - body.permille
         state.set_shares(
@@ -248,8 +267,8 @@
     move.permille = body.permille
     move.phase = body.phase
     move.step_ms = state.clock_ms
-    state.note(move, body.reason)
-    return Ruling(Outcome.DONE, "")
+    state.add_history_line(move, body.reason)
+    return CommandResult(Outcome.DONE, "")
 
 
 @run.register(messages.EndMove)
@@ -258,12 +277,12 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     move = state.moves.get(body.move_id)
     if move is None or move.outcome:
-        return Ruling(Outcome.NOT_RUN, "no such move runs")
+        return CommandResult(Outcome.NOT_RUN, "no such move runs")
     state.end_move(index, move, body.outcome, body.reason)
-    return Ruling(Outcome.DONE, "")
+    return CommandResult(Outcome.DONE, "")
 
 
 @run.register(messages.ReverseMove)
@@ -272,13 +291,15 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     move = state.running_move(body.service_name)
     if move is None:
-        return Ruling(Outcome.NOT_RUN, f"no move runs on {body.service_name}")
+        return CommandResult(
+            Outcome.NOT_RUN, f"no move runs on {body.service_name}"
+        )
     reason = f"reversed by {command.operator_name}"
     state.end_move(index, move, Outcome.TAKEN_BACK, reason)
-    return Ruling(Outcome.DONE, f"move {move.move_id} taken back")
+    return CommandResult(Outcome.DONE, f"move {move.move_id} taken back")
 
 
 @run.register(messages.DrainHost)
@@ -287,16 +308,16 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     key = item_store.DRAIN + body.host
     present = state.items.get(key) is not None
     if present == body.draining:
-        return Ruling(Outcome.DONE, "nothing to change")
+        return CommandResult(Outcome.DONE, "nothing to change")
     if body.draining:
         state.items.set(index, key, messages.Drain(host=body.host))
     else:
         state.items.delete(index, key)
-    return Ruling(Outcome.DONE, f"revision {index}")
+    return CommandResult(Outcome.DONE, f"revision {index}")
 
 
 @run.register(messages.EvacuateDomain)
@@ -305,22 +326,22 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
-    """Evacuate a failure domain, or take it back.
+) -> CommandResult:
+    """Evacuate a failure domain, or return it to service.
 
-    A command that was held up on its way may arrive after its operator has
-    sent it again and then taken the domain back: run then, it would empty the
-    domain once more, with nobody to take it back. So it runs only if the
-    domain did not change since its sender last knew.
+    A delayed command may arrive after its operator has sent it again and then
+    returned the domain to service. It would evacuate the domain again without
+    anyone expecting it. So it runs only if the domain has not changed since
+    the revision that its sender knew.
     """
     key = item_store.EVACUATION + body.domain
     present = state.items.get(key) is not None
     if present == body.evacuated:
-        return Ruling(Outcome.DONE, "nothing to change")
+        return CommandResult(Outcome.DONE, "nothing to change")
     changed = state.items.revision_of(key)
     if body.known_revision and changed > body.known_revision:
         reason = f"{body.domain} was changed at revision {changed} meanwhile"
-        return Ruling(Outcome.NOT_RUN, reason, messages.Cause.CONFLICT)
+        return CommandResult(Outcome.NOT_RUN, reason, messages.Cause.CONFLICT)
     if body.evacuated:
         record = messages.Evacuation(
             body.domain, command.operator_name, state.clock_ms, body.reason
@@ -328,7 +349,7 @@
         state.items.set(index, key, record)
     else:
         state.items.delete(index, key)
-    return Ruling(Outcome.DONE, f"revision {index}")
+    return CommandResult(Outcome.DONE, f"revision {index}")
 
 
 @run.register(messages.CancelCommand)
@@ -337,12 +358,14 @@
     state: "states.State",
     index: int,
     command: messages.Command,
-) -> Ruling:
+) -> CommandResult:
     past = state.past.get(body.cancelled_id)
     if past is not None:
         name = Outcome._VALUES_TO_NAMES[past.outcome].lower()
-        return Ruling(Outcome.NOT_RUN, f"it has an outcome already: {name}")
-    state._remember(
+        return CommandResult(
+            Outcome.NOT_RUN, f"it has an outcome already: {name}"
+        )
+    state._record_outcome(
         messages.PastCommand(
             command_id=body.cancelled_id,
             digest=0,
@@ -352,4 +375,4 @@
             stamped_ms=state.clock_ms,
         )
     )
-    return Ruling(Outcome.DONE, f"{body.cancelled_id} will never run")
+    return CommandResult(Outcome.DONE, f"{body.cancelled_id} will never run")
--- a/libs/moves/src/trefoil_moves/sequential.py
+++ b/libs/moves/src/trefoil_moves/sequential.py
@@ -1,15 +1,16 @@
 """A sequential test of two versions that serve side by side.
 
 Within a stratum (one route, one failure domain, one second) both versions
-meet the same callers, load and dependencies. Given how many of a stratum's
-requests were bad in all, the number that fell to the new version follows the
-hypergeometric law if both are equal, and Fisher's noncentral one if the new
-version's odds are r times higher. The likelihood ratio of the two needs no
-estimate of the common rate, so a fault that both share cancels out.
-
-The ratios are summed as CUSUMs, one for each r, and mixed. A version that
-turns bad late is caught as fast as one that is bad from the start, since a
-CUSUM forgets evidence in its favour. Sources: Page (1954); Johari et al.,
+have the same callers, load and dependencies. Given the total number of bad
+requests in a stratum, the number that the new version served follows the
+hypergeometric distribution if both versions are equal, and Fisher's
+noncentral one if the new version's odds are r times higher. The likelihood
+ratio of the two needs no estimate of the common rate, so a fault that both
+versions share cancels out.
+
+The log ratios are summed as CUSUMs, one for each r, and mixed. A version that
+turns bad late is detected as fast as one that is bad from the start, since a
+CUSUM discards evidence in its favor. Sources: Page (1954); Johari et al.,
 "Always Valid Inference" (2015), for mixing over alternatives.
 """
 
@@ -29,38 +30,41 @@
     """Return the evidence of one stratum for higher odds over equal ones.
 
     Args:
-        odds: How many times higher the new version's odds of a bad request.
+        odds: Assumed ratio of the new version's odds of a bad request to the
+            old version's.
         new_bad: Bad requests of the new version.
         new_total: All requests of the new version.
         old_bad: Bad requests of the old version.
         old_total: All requests of the old version.
 
     Returns:
-        The log of the likelihood ratio; 0 where the stratum tells nothing.
+        The logarithm of the likelihood ratio; 0 for a stratum without
+        information.
     """
     bad = new_bad + old_bad
     if not bad or not new_total or not old_total:
         return 0.0
-    least = max(0, bad - old_total)
+    fewest = max(0, bad - old_total)
     most = min(new_total, bad)
     log_odds = math.log(odds)
-    plain = [
+    weights = [
         log_choose(new_total, j) + log_choose(old_total, bad - j)
-        for j in range(least, most + 1)
+        for j in range(fewest, most + 1)
     ]
-    tilted = [
-        weight + (least + step) * log_odds for step, weight in enumerate(plain)
+    tilted_weights = [
+        weight + (fewest + step) * log_odds
+        for step, weight in enumerate(weights)
     ]
-    return new_bad * log_odds + _log_sum(plain) - _log_sum(tilted)
+    return new_bad * log_odds + _log_sum(weights) - _log_sum(tilted_weights)
 
 
 def _log_sum(terms: list[float]) -> float:
-    top = max(terms)
-    return top + math.log(sum(math.exp(term - top) for term in terms))
+    largest = max(terms)
+    return largest + math.log(sum(math.exp(term - largest) for term in terms))
 
 
 class Detector:
-    """CUSUMs over the alternatives, mixed into one figure."""
+    """CUSUMs over the alternatives in ``ODDS``, mixed into one value."""
 
     __slots__ = ("sums",)
 
@@ -70,64 +74,64 @@
     def add(
         self, new_bad: int, new_total: int, old_bad: int, old_total: int
     ) -> None:
-        """Add one stratum."""
-        for at, odds in enumerate(ODDS):
+        """Add the counts of one stratum."""
+        for index, odds in enumerate(ODDS):
             step = log_likelihood_ratio(
                 odds, new_bad, new_total, old_bad, old_total
             )
-            self.sums[at] = max(self.sums[at] + step, 0.0)
+            self.sums[index] = max(self.sums[index] + step, 0.0)
 
     @property
     def evidence(self) -> float:
-        """Return the log of the mixed evidence against the new version."""
+        """Return the logarithm of the evidence against the new version."""
         return _log_sum(self.sums) - math.log(len(self.sums))
 
 
 class Clearance:
-    """How surely a rate is below that of a fault.
+    """Evidence that a failure rate is below that of a fault.
 
-    The other bound of a sequential test: evidence in favour. It is asked for
-    by count, so a quiet second clears nothing, and what is bad after much
-    that was good counts at once, since the evidence is capped.
+    This is the lower bound of a sequential test: evidence in favor. It grows
+    with the number of requests, so a second without traffic adds nothing. The
+    evidence is capped, so failures after many good requests count at once.
 
     Args:
-        base_rate: The rate that is in order.
-        fault_rate: The least rate of a fault.
-        enough: Log of the evidence that clears.
+        base_rate: The failure rate of a good version.
+        fault_rate: The least failure rate of a fault.
+        threshold: Logarithm of the evidence that clears a version.
     """
 
-    __slots__ = ("gain_good", "loss_bad", "enough", "sum")
+    __slots__ = ("gain_good", "loss_bad", "threshold", "sum")
 
     def __init__(
-        self, base_rate: float, fault_rate: float, enough: float
+        self, base_rate: float, fault_rate: float, threshold: float
     ) -> None:
         fault_rate = max(fault_rate, base_rate)
         self.gain_good = math.log((1 - base_rate) / (1 - fault_rate))
         self.loss_bad = math.log(fault_rate / base_rate)
-        self.enough = enough
+        self.threshold = threshold
         self.sum = 0.0
 
     def add(self, bad: int, total: int) -> None:
-        """Add some requests."""
+        """Add the outcomes of some requests."""
         self.sum += (total - bad) * self.gain_good - bad * self.loss_bad
-        self.sum = min(self.sum, self.enough)
+        self.sum = min(self.sum, self.threshold)
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether the evidence is enough."""
-        return self.sum >= self.enough
+        """Tell whether the evidence has reached the threshold."""
+        return self.sum >= self.threshold
 
 
 class BaselineDetector:
     """A CUSUM of a rate against a known baseline.
 
-    It serves when the old version has no traffic to compare with. It can't
-    tell a shared fault from the version's own, so its alarm only asks for a
-    comparison.
+    It is used while the old version has no traffic to compare with. It can't
+    distinguish a fault of both versions from one of the new version, so its
+    alarm only starts a comparison.
 
     Args:
-        base_rate: The rate that is in order.
-        alarm_rate: The rate that is not.
+        base_rate: The failure rate of a good version.
+        alarm_rate: The failure rate to detect.
     """
 
     __slots__ = ("gain_bad", "gain_good", "sum")
@@ -138,6 +142,6 @@
         self.sum = 0.0
 
     def add(self, bad: int, total: int) -> None:
-        """Add some requests."""
+        """Add the outcomes of some requests."""
         gain = bad * self.gain_bad + (total - bad) * self.gain_good
         self.sum = max(self.sum + gain, 0.0)
--- a/libs/moves/src/trefoil_moves/state.py
+++ b/libs/moves/src/trefoil_moves/state.py
@@ -1,8 +1,8 @@
-"""The agreed state: configuration, moves and past commands.
+"""The replicated state: configuration, moves and past commands.
 
-Every control process applies the same entries in the same order and must
-come to the same state, so nothing here reads a clock or draws at random: the
-leader stamps the time into the command.
+Every control process applies the same log entries in the same order and must
+reach the same state, so nothing here reads a clock or uses random numbers.
+The leader writes the time into each command.
 """
 
 import typing
@@ -16,8 +16,8 @@
 from . import phases
 from . import rulings
 
-REMEMBER_MS = 24 * 3600 * 1000
-MAX_PAST = 8192
+RETENTION_MS = 24 * 3600 * 1000
+MAX_PAST_COMMANDS = 8192
 MAX_FINISHED_MOVES = 256
 MAX_HISTORY = 64
 
@@ -25,14 +25,14 @@
 
 
 def command_digest(command: messages.Command) -> int:
-    """Return a hash of what an operator asked, stamps left out."""
+    """Return a hash of an operator's request, without its time stamps."""
     issued_ms = 0 if command.content_id else command.issued_ms
     head = f"{command.operator_name}\0{issued_ms}\0{command.kind}\0"
     return hashing.hash64(head.encode() + command.body)
 
 
 class State:
-    """What the control processes have agreed on so far."""
+    """The state machine that the Raft log is applied to."""
 
     __slots__ = ("items", "moves", "past", "clock_ms", "document")
 
@@ -45,7 +45,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes) -> typing.Self:
-        """Read a snapshot."""
+        """Restore the state from a snapshot."""
         saved = frames.unpack(messages.AgreedState, data)
         state = cls()
         state.items = item_store.Items.from_list(saved.revision, saved.items)
@@ -56,7 +56,7 @@
         return state
 
     def to_bytes(self) -> bytes:
-        """Return a snapshot."""
+        """Return a snapshot of the state."""
         return frames.pack(
             messages.AgreedState(
                 revision=self.items.revision,
@@ -69,7 +69,7 @@
         )
 
     def running_move(self, service: str) -> messages.MoveRecord | None:
-        """Return the move that runs on a service, if any."""
+        """Return the move that runs on a service, None if none does."""
         for move in self.moves.values():
             if move.service_name == service and not move.outcome:
                 return move
@@ -82,9 +82,9 @@
     def answer(self, command: messages.Command) -> messages.PastCommand | None:
         """Return the recorded outcome of a command, None if not recorded.
 
-        Two operators who race with equal command ids differ in digest: the
-        first to be agreed wins, the other is told not run, which stays true
-        since the id is taken for good.
+        Commands of two operators with the same id differ in their digests.
+        The first to be committed runs. The other gets the outcome "not run",
+        which stays correct since an id is never reused.
         """
         past = self.past.get(command.command_id)
         if past is None:
@@ -101,67 +101,74 @@
             cause=messages.Cause.CONFLICT,
         )
 
-    def refusal(self, command: messages.Command) -> rulings.Ruling | None:
-        """Return why a command must not be agreed, None if it may.
+    def refusal(
+        self, command: messages.Command
+    ) -> rulings.CommandResult | None:
+        """Return why a command must not run, None if it may.
 
-        Past outcomes are dropped after a day. A resend of an older command
-        would run again, so commands that old are refused; their outcome is
-        no longer known, and "not run" would be a guess.
+        Past outcomes are deleted after a day. If an older command were sent
+        again, it would run twice, so commands of that age are refused. Their
+        outcome is no longer known, so "not run" might be wrong.
         """
         if not command.command_id or not command.operator_name:
             reason = "a command needs an id and an operator"
-            return rulings.Ruling(Outcome.NOT_RUN, reason)
+            return rulings.CommandResult(Outcome.NOT_RUN, reason)
         dated = not command.content_id
-        if dated and command.issued_ms < self.clock_ms - REMEMBER_MS:
+        if dated and command.issued_ms < self.clock_ms - RETENTION_MS:
             reason = "issued over a day ago; its outcome is no longer kept"
-            return rulings.Ruling(Outcome.EXPIRED, reason)
-        if len(self.past) >= MAX_PAST and command.command_id not in self.past:
+            return rulings.CommandResult(Outcome.EXPIRED, reason)
+        if (
+            len(self.past) >= MAX_PAST_COMMANDS
+            and command.command_id not in self.past
+        ):
             reason = "the table of past commands is full"
-            return rulings.Ruling(Outcome.NOT_RUN, reason)
+            return rulings.CommandResult(Outcome.NOT_RUN, reason)
         return None
 
     def apply(self, index: int, command: messages.Command) -> typing.Any:
-        """Apply an agreed command once and return its recorded outcome.
+        """Apply a committed command once and return its recorded outcome.
 
-        A leader's own steps carry no id: they need no dedupe, since each
-        names the move and the share that it sets, and they would crowd
-        operators' commands out of the table.
+        Commands of the leader itself carry no id and return None. They need
+        no deduplication, since each names the move and the share that it
+        sets, and they would displace operators' commands from the table.
         """
         if not command.command_id:
             self.clock_ms = max(self.clock_ms, command.stamped_ms)
             self._run(index, command)
             return None
-        known = self.answer(command)
-        if known is not None:
-            return known
+        recorded = self.answer(command)
+        if recorded is not None:
+            return recorded
         self.clock_ms = max(self.clock_ms, command.stamped_ms)
-        refusal = self.refusal(command)
-        if refusal is None:
-            refusal = self._run(index, command)
+        result = self.refusal(command)
+        if result is None:
+            result = self._run(index, command)
         past = messages.PastCommand(
             command_id=command.command_id,
             digest=command_digest(command),
-            outcome=refusal.outcome,
-            reason=refusal.reason,
+            outcome=result.outcome,
+            reason=result.reason,
             revision=self.items.revision,
             stamped_ms=self.clock_ms,
-            cause=refusal.cause,
+            cause=result.cause,
         )
-        self._remember(past)
+        self._record_outcome(past)
         return past
 
-    def _run(self, index: int, command: messages.Command) -> rulings.Ruling:
+    def _run(
+        self, index: int, command: messages.Command
+    ) -> rulings.CommandResult:
         try:
             body = frames.unpack_any(command.kind, command.body)
             return rulings.run(body, self, index, command)
         except (errors.FrameError, KeyError, TypeError) as error:
-            return rulings.Ruling(
+            return rulings.CommandResult(
                 Outcome.NOT_RUN, f"malformed command: {error}"
             )
 
-    def _remember(self, past: messages.PastCommand) -> None:
+    def _record_outcome(self, past: messages.PastCommand) -> None:
         self.past[past.command_id] = past
-        oldest = self.clock_ms - REMEMBER_MS
+        oldest = self.clock_ms - RETENTION_MS
         while self.past:
             first = next(iter(self.past.values()))
             if first.stamped_ms >= oldest:
@@ -169,7 +176,7 @@
             del self.past[first.command_id]
 
     def document_tag(self) -> str:
-        """Return what tells the agreed document from others."""
+        """Return an identifier of the current document, "" if none."""
         if self.document is None:
             return ""
         return f"{self.document.number}-{hashing.hash64(self.document.text)}"
@@ -177,7 +184,7 @@
     def set_shares(
         self, index: int, service: str, shares: dict[str, int], move_id: str
     ) -> None:
-        """Put a service's split of traffic in the configuration."""
+        """Set a service's traffic shares, in permille by version."""
         record = messages.Shares(
             service_name=service,
             shares=[
@@ -195,22 +202,22 @@
         outcome: int,
         reason: str,
     ) -> None:
-        """Give a move its outcome and the traffic its final split."""
-        won = outcome == Outcome.DONE
-        version = move.to_version if won else move.from_version
+        """End a move with an outcome and set the final traffic shares."""
+        is_done = outcome == Outcome.DONE
+        version = move.to_version if is_done else move.from_version
         self.set_shares(index, move.service_name, {version: 1000}, "")
         move.outcome = outcome
         move.reason = reason
-        move.permille = 1000 if won else 0
+        move.permille = 1000 if is_done else 0
         move.phase = phases.ENDED
         move.step_ms = self.clock_ms
-        self.note(move, reason)
+        self.add_history_line(move, reason)
         finished = [m for m in self.moves.values() if m.outcome]
         for old in finished[: max(len(finished) - MAX_FINISHED_MOVES, 0)]:
             del self.moves[old.move_id]
 
-    def note(self, move: messages.MoveRecord, reason: str) -> None:
-        """Add a line to what ``explain`` tells of a move."""
+    def add_history_line(self, move: messages.MoveRecord, reason: str) -> None:
+        """Add a line to a move's history, which ``explain`` prints."""
         elapsed_s = (self.clock_ms - move.started_ms) / 1000
         line = f"+{elapsed_s:.1f}s {move.phase} {move.permille}: {reason}"
         move.history = (move.history + [line])[-MAX_HISTORY:]
--- a/libs/moves/tests/test_conductor.py
+++ b/libs/moves/tests/test_conductor.py
@@ -1,9 +1,9 @@
-"""The conductor's steps: by evidence, slots and the deadline."""
+"""Steps of the move controller: by evidence, slots and the deadline."""
 
 import pytest
 
 from trefoil_moves import conductor as conductors
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import phases
 from trefoil_settings import settings
 from trefoil_wire import messages
@@ -36,7 +36,7 @@
     )
 
 
-def conduct(
+def run_move(
     move: messages.MoveRecord,
     capacity: conductors.Capacity = FULL,
     *,
@@ -45,14 +45,16 @@
     bad_from_ms: int = -1,
     rate: int = 0,
 ) -> list[tuple[int, object]]:
-    """Conduct a move; return its decisions with their times."""
-    conductor = conductors.Conductor(move, knob_store.Knobs(), start_ms)
+    """Run a move and return its decisions with their times."""
+    conductor = conductors.Conductor(
+        move, move_parameters.MoveParameters(), start_ms
+    )
     totals = {"v1": [0, 0], "v2": [0, 0]}
     decisions = []
     for now_ms in range(start_ms, until_ms, 200):
         if rate and now_ms % 1000 == 0:
-            bad = 0 <= bad_from_ms <= now_ms
-            conductor.hear(_report(move, totals, rate, bad, now_ms), now_ms)
+            is_bad = 0 <= bad_from_ms <= now_ms
+            conductor.hear(_report(move, totals, rate, is_bad, now_ms), now_ms)
         decision = conductor.decide(
             move, capacity, now_ms=now_ms, wall_ms=now_ms
         )
@@ -72,13 +74,13 @@
     move: messages.MoveRecord,
     totals: dict[str, list[int]],
     rate: int,
-    bad: bool,
+    is_bad: bool,
     now_ms: int,
 ) -> messages.EvidenceReport:
     new = rate * move.permille // 1000
     totals["v1"][0] += rate - new
     totals["v2"][0] += new
-    totals["v2"][1] += new // 2 if bad else 0
+    totals["v2"][1] += new // 2 if is_bad else 0
     tallies = [
         messages.Tally("r", version, "d", count, failed, {40: count})
         for version, (count, failed) in totals.items()
@@ -94,29 +96,29 @@
     ]
 
 
-def ending(decisions: list[tuple[int, object]]) -> tuple[int, int]:
+def final_outcome(decisions: list[tuple[int, object]]) -> tuple[int, int]:
     at_ms, decision = decisions[-1]
     assert isinstance(decision, conductors.End)
     return at_ms, decision.outcome
 
 
-def test_a_good_version_has_all_traffic_in_time() -> None:
-    decisions = conduct(a_move(), rate=500)
-    whole_ms = next(
+def test_a_good_version_has_all_traffic_by_the_deadline() -> None:
+    decisions = run_move(a_move(), rate=500)
+    full_ms = next(
         at_ms for at_ms, d in decisions if getattr(d, "permille", 0) == 1000
     )
     assert shares(decisions) == sorted(shares(decisions))
-    assert whole_ms <= DEADLINE_MS
-    assert ending(decisions) == (whole_ms + 5000, messages.Outcome.DONE)
+    assert full_ms <= DEADLINE_MS
+    assert final_outcome(decisions) == (full_ms + 5000, messages.Outcome.DONE)
 
 
 def test_without_traffic_the_deadline_is_still_met() -> None:
-    """No request comes on the service at all until the deadline.
+    """The service gets no request until the deadline.
 
-    Nothing speaks against the version; the operator's date stands.
+    There is no evidence against the version, so the deadline counts.
     """
-    decisions = conduct(a_move())
-    assert ending(decisions)[1] == messages.Outcome.DONE
+    decisions = run_move(a_move())
+    assert final_outcome(decisions)[1] == messages.Outcome.DONE
     assert shares(decisions)[-1] == 1000
 
 
@@ -143,57 +145,57 @@
         ),
     ],
 )
-def test_what_keeps_a_move_from_its_end(
+def test_missing_capacity_ends_a_move_at_the_deadline(
     case: str, capacity: conductors.Capacity, outcome: int, reason: str
 ) -> None:
-    decisions = conduct(a_move(), capacity, rate=500)
-    assert ending(decisions) == (DEADLINE_MS, outcome)
+    decisions = run_move(a_move(), capacity, rate=500)
+    assert final_outcome(decisions) == (DEADLINE_MS, outcome)
     assert reason in decisions[-1][1].reason
     assert all(share <= 225 for share in shares(decisions))
 
 
-def test_targets_that_go_away_end_the_move() -> None:
+def test_a_move_is_taken_back_when_its_targets_disappear() -> None:
     move = a_move(phases.RAMP, 300)
-    decisions = conduct(move, NONE_READY, rate=500)
-    assert ending(decisions) == (0, messages.Outcome.TAKEN_BACK)
+    decisions = run_move(move, NONE_READY, rate=500)
+    assert final_outcome(decisions) == (0, messages.Outcome.TAKEN_BACK)
 
 
 def test_a_bad_version_keeps_its_small_share_until_it_is_taken_back() -> None:
-    decisions = conduct(a_move(), rate=500, bad_from_ms=0)
-    at_ms, outcome = ending(decisions)
+    decisions = run_move(a_move(), rate=500, bad_from_ms=0)
+    at_ms, outcome = final_outcome(decisions)
     assert outcome == messages.Outcome.TAKEN_BACK
     assert at_ms <= 15_000
     assert max(shares(decisions)) <= 50
 
 
-def test_a_fault_after_the_whole_share_asks_the_old_version() -> None:
+def test_a_fault_at_full_traffic_starts_a_comparison() -> None:
     """All traffic has moved, then half of the requests fail.
 
-    The old version has no traffic to compare with; a part goes back to it
-    for as long as it takes to tell a shared fault from the version's own.
+    The old version has no traffic to compare with. It gets a part back until
+    a fault of both versions can be distinguished from one of the new version.
     """
-    decisions = conduct(a_move(watch_ms=60_000), rate=500, bad_from_ms=70_000)
-    asked_ms = next(
+    decisions = run_move(a_move(watch_ms=60_000), rate=500, bad_from_ms=70_000)
+    compared_ms = next(
         at_ms
         for at_ms, d in decisions
         if getattr(d, "phase", "") == phases.COMPARE
     )
-    at_ms, outcome = ending(decisions)
+    at_ms, outcome = final_outcome(decisions)
     assert outcome == messages.Outcome.TAKEN_BACK
-    assert asked_ms <= 73_000
-    assert at_ms <= asked_ms + 4000
+    assert compared_ms <= 73_000
+    assert at_ms <= compared_ms + 4000
 
 
-def test_a_new_leader_goes_on_from_the_agreed_step() -> None:
+def test_a_new_leader_continues_from_the_committed_step() -> None:
     move = a_move(phases.RAMP, 300)
-    decisions = conduct(move, rate=500, start_ms=50_000)
+    decisions = run_move(move, rate=500, start_ms=50_000)
     assert shares(decisions)[0] > 300
-    assert ending(decisions)[1] == messages.Outcome.DONE
+    assert final_outcome(decisions)[1] == messages.Outcome.DONE
 
 
 def test_a_proxys_halt_takes_the_move_back() -> None:
     move = a_move(phases.RAMP, 300)
-    conductor = conductors.Conductor(move, knob_store.Knobs(), 0)
+    conductor = conductors.Conductor(move, move_parameters.MoveParameters(), 0)
     halt = messages.EvidenceReport("m", "h7", 1, 1, [], True)
     conductor.hear(halt, 0)
     decision = conductor.decide(move, FULL, now_ms=0, wall_ms=0)
@@ -201,16 +203,21 @@
     assert "h7" in decision.reason
 
 
-def test_knobs_follow_the_profile() -> None:
-    assert knob_store.Knobs.from_profile("in-time").false_alarms < 0.005
-    assert knob_store.Knobs.from_profile("cautious").pace > 0.5
+def test_parameters_follow_the_profile() -> None:
+    assert (
+        move_parameters.MoveParameters.from_profile("in-time").false_alarms
+        < 0.005
+    )
+    assert move_parameters.MoveParameters.from_profile("cautious").pace > 0.5
 
 
-def test_single_knobs_go_before_the_profile() -> None:
+def test_settings_override_the_profile() -> None:
     text = (
         "{host: c1, domain: d, peers: '127.0.0.1:1', admin: '127.0.0.1:2', "
         "controls: {c1: '127.0.0.1:1'}, voters: [c1], data_folder: x, "
         "profile: cautious, moves: {first_share: 2.5}}"
     )
-    made = knob_store.Knobs.from_settings(settings.parse(text, "control").ok)
-    assert (made.first_permille, made.pace) == (25, 0.6)
+    parameters = move_parameters.MoveParameters.from_settings(
+        settings.parse(text, "control").ok
+    )
+    assert (parameters.first_permille, parameters.pace) == (25, 0.6)
--- a/libs/moves/tests/test_documents.py
+++ b/libs/moves/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Numbered documents: two writers, resends, invalid ones."""
+"""Numbered documents: concurrent writers, resends, invalid ones."""
 
 import pytest
 
@@ -46,7 +46,7 @@
     )
 
 
-def test_of_two_writers_on_one_base_one_wins() -> None:
+def test_the_second_of_two_writers_on_one_base_is_refused() -> None:
     state = states.State()
     assert state.apply(1, document(3, 0)).outcome == Outcome.DONE
     assert state.apply(2, document(5, 3)).outcome == Outcome.DONE
@@ -55,20 +55,20 @@
     assert state.document.number == 5
 
 
-def test_a_resend_is_acknowledged_again_by_any_process() -> None:
-    """Its answer was lost; another change came in between."""
+def test_a_resent_document_is_acknowledged_again() -> None:
+    """The reply was lost and another document was applied since."""
     state = states.State()
     first = document(3, 0)
     state.apply(1, first)
     state.apply(2, document(5, 3, route("a")))
-    again = document(3, 0)
-    again.stamped_ms = 99
-    assert state.apply(3, again).outcome == Outcome.DONE
+    resent = document(3, 0)
+    resent.stamped_ms = 99
+    assert state.apply(3, resent).outcome == Outcome.DONE
     assert state.document.number == 5
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid",
     [
         document(3, 3),
         document(2, 3),
@@ -83,17 +83,17 @@
         document(9, 3, route("a", backends=[messages.Backend("tables", 0.0)])),
     ],
 )
-def test_an_invalid_document_changes_nothing(wrong) -> None:
+def test_an_invalid_document_changes_nothing(invalid) -> None:
     state = states.State()
     state.apply(1, document(3, 0))
     before = state.items.digest
-    found = state.apply(2, wrong)
-    assert (found.outcome, found.cause) == (Outcome.NOT_RUN, Cause.INVALID)
+    result = state.apply(2, invalid)
+    assert (result.outcome, result.cause) == (Outcome.NOT_RUN, Cause.INVALID)
     assert state.items.digest == before
     assert state.document.number == 3
 
 
-def test_a_document_outlives_a_snapshot() -> None:
+def test_a_snapshot_keeps_the_document() -> None:
     state = states.State()
     state.apply(1, document(3, 0, text=b'{"version":3}'))
     read = states.State.from_bytes(state.to_bytes())
@@ -101,9 +101,9 @@
 
 
 def test_a_version_is_adopted_once() -> None:
-    """The document names none; the first that targets announce is taken.
+    """The document names no version; the first announced one is recorded.
 
-    Targets of a version that no move brought in must get nothing.
+    Targets of a version that no move has introduced must get no traffic.
     """
     state = states.State()
     state.apply(1, document(3, 0))
@@ -116,7 +116,7 @@
     assert shares.shares == [messages.VersionShare("v1", 1000)]
 
 
-def test_a_move_may_start_from_whatever_is_in_force() -> None:
+def test_a_move_without_a_start_version_uses_the_one_in_force() -> None:
     state = states.State()
     state.apply(1, document(3, 0))
     kind, data = frames.pack_any(messages.AdoptVersion("tables", "v1"))
--- a/libs/moves/tests/test_evacuations.py
+++ b/libs/moves/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations as agreed state: resent, held up, raced with a withdrawal."""
+"""Evacuations in the replicated state: resent, delayed or withdrawn."""
 
 import dataclasses
 
@@ -19,13 +19,13 @@
 
 
 def evacuation(
-    number: str, evacuated: bool = True, known: int = 0
+    command_id: str, evacuated: bool = True, known: int = 0
 ) -> messages.Command:
-    """Return a command that evacuates a domain, or takes it back."""
+    """Return a command that starts or ends the evacuation of the domain."""
     body = messages.EvacuateDomain(DOMAIN, evacuated, known, "cooling")
     kind, data = frames.pack_any(body)
     return messages.Command(
-        command_id=number,
+        command_id=command_id,
         operator_name="ann",
         issued_ms=NOW_MS,
         kind=kind,
@@ -39,28 +39,28 @@
     return state.items.get(KEY) is not None
 
 
-def test_an_evacuation_tells_who_when_and_why() -> None:
+def test_an_evacuation_records_operator_time_and_reason() -> None:
     state = states.State()
     assert state.apply(5, evacuation("a")).outcome == Outcome.DONE
-    found = state.items.get(KEY)
-    assert (found.operator_name, found.since_ms) == ("ann", NOW_MS)
-    assert found.reason == "cooling"
+    record = state.items.get(KEY)
+    assert (record.operator_name, record.since_ms) == ("ann", NOW_MS)
+    assert record.reason == "cooling"
     assert state.items.revision == 5
 
 
 @pytest.mark.parametrize("evacuated", [True, False])
 def test_a_resent_call_is_acknowledged_again(evacuated: bool) -> None:
-    """Its answer was lost, so the same call came as another command."""
+    """The reply was lost, so the same call arrives as another command."""
     state = states.State()
     state.apply(5, evacuation("a"))
     state.apply(6, evacuation("b", evacuated, known=5))
-    again = state.apply(7, evacuation("c", evacuated, known=5))
-    assert again.outcome == Outcome.DONE
+    resent = state.apply(7, evacuation("c", evacuated, known=5))
+    assert resent.outcome == Outcome.DONE
     assert is_evacuated(state) == evacuated
 
 
-def test_a_call_that_was_held_up_does_not_empty_the_domain_again() -> None:
-    """A frozen host handed it in after the domain had been taken back."""
+def test_a_delayed_call_does_not_evacuate_the_domain_again() -> None:
+    """A frozen host submits the call after the evacuation has ended."""
     state = states.State()
     state.apply(5, evacuation("a", known=4))
     state.apply(6, evacuation("b", evacuated=False, known=5))
@@ -70,14 +70,20 @@
     assert not is_evacuated(state)
 
 
-def test_an_evacuation_outlives_a_snapshot() -> None:
+def test_a_snapshot_keeps_an_evacuation() -> None:
     state = states.State()
     state.apply(5, evacuation("a"))
     assert is_evacuated(states.State.from_bytes(state.to_bytes()))
 
 
-def test_a_withdrawal_is_remembered_beside_many_dropped_routes() -> None:
-    """Its trace was dropped with those of routes, and an old call ran."""
+def test_the_end_of_an_evacuation_is_kept_despite_many_deleted_routes() -> (
+    None
+):
+    """Without its tombstone, a delayed call would evacuate the domain again.
+
+    Tombstones of evacuations must not be evicted together with those of
+    routes.
+    """
     state = states.State()
     state.apply(5, evacuation("a"))
     state.apply(6, evacuation("b", evacuated=False))
@@ -90,11 +96,11 @@
 
 @dataclasses.dataclass
 class Sent:
-    """A command on its way.
+    """A command in flight.
 
     Args:
         call: Number of the operator's call that it belongs to.
-        host: The control host that made it.
+        host: The control host that created it.
         command: The command.
     """
 
@@ -107,28 +113,30 @@
 
 
 class Operator(stateful.RuleBasedStateMachine):
-    """One operator, hosts that lag, and commands that are held up.
+    """One operator, hosts that lag behind and commands that are delayed.
 
-    The operator makes one call after the other and sends each as often as it
-    likes, to any host. Whatever arrives late, the domain is as the newest
-    acknowledged call wants it.
+    The operator makes one call after the other and sends each any number of
+    times, to any host. Whatever arrives late, the domain must be in the state
+    that the latest acknowledged call requested.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self.state = states.State()
         self.index = 1
-        self.numbers = 0
+        self.command_count = 0
         self.known = [1] * HOSTS
         self.call = 0
         self.wanted = False
         self.acknowledged = True
-        self.under_way: list[Sent] = []
+        self.in_flight: list[Sent] = []
 
     def _send(self, host: int) -> None:
-        self.numbers += 1
-        command = evacuation(f"n{self.numbers}", self.wanted, self.known[host])
-        self.under_way.append(Sent(self.call, host, command))
+        self.command_count += 1
+        command = evacuation(
+            f"n{self.command_count}", self.wanted, self.known[host]
+        )
+        self.in_flight.append(Sent(self.call, host, command))
 
     @stateful.precondition(lambda self: self.acknowledged)
     @stateful.rule(wanted=st.booleans())
@@ -141,7 +149,7 @@
     @stateful.precondition(lambda self: not self.acknowledged)
     @stateful.rule(host=st.integers(0, HOSTS - 1))
     def send(self, host: int) -> None:
-        """Send the present call to a host, which makes a command of it."""
+        """Send the current call to a host, which creates a command."""
         self._send(host)
 
     @stateful.rule(host=st.integers(0, HOSTS - 1))
@@ -149,11 +157,11 @@
         """Let a host catch up."""
         self.known[host] = self.index
 
-    @stateful.precondition(lambda self: self.under_way)
+    @stateful.precondition(lambda self: self.in_flight)
     @stateful.rule(at=st.integers(0, 20))
     def arrive(self, at: int) -> None:
-        """Let some command be agreed, however late."""
-        sent = self.under_way.pop(at % len(self.under_way))
+        """Commit any command in flight, however late."""
+        sent = self.in_flight.pop(at % len(self.in_flight))
         self.index += 1
         past = self.state.apply(self.index, sent.command)
         present = sent.call == self.call and not self.acknowledged
@@ -165,8 +173,8 @@
                 self._send(sent.host)
 
     @stateful.invariant()
-    def the_acknowledged_call_holds(self) -> None:
-        """Check the domain against the newest acknowledged call."""
+    def domain_matches_the_acknowledged_call(self) -> None:
+        """Check the domain against the latest acknowledged call."""
         if self.acknowledged:
             assert is_evacuated(self.state) == self.wanted
 
--- a/libs/moves/tests/test_judge.py
+++ b/libs/moves/tests/test_judge.py
@@ -1,11 +1,11 @@
-"""The judgement of versions: what condemns, what does not fool it."""
+"""Comparison of versions: what leads to a verdict and what must not."""
 
 import random
 
 import pytest
 
 from trefoil_moves import evidence as evidences
-from trefoil_moves import judge as judges
+from trefoil_moves import judge as comparisons
 from trefoil_moves import sequential
 from trefoil_wire import messages
 
@@ -19,79 +19,94 @@
     route: str = "r",
     domain: str = "d",
 ) -> evidences.Window:
-    """Return a second's counts: requests and failures of both versions."""
-    found: evidences.Window = {}
-    for version, counts, took_us in (
+    """Return one window of requests and failures of both versions.
+
+    Args:
+        old: Requests and failures of the old version.
+        new: Requests and failures of the new version.
+        old_us: Latency of the old version, in microseconds.
+        new_us: Latency of the new version, in microseconds.
+        route: The route.
+        domain: The failure domain.
+    """
+    window_counts: evidences.Window = {}
+    for version, counts, latency_us in (
         ("v1", old, old_us),
         ("v2", new, new_us),
     ):
-        made = evidences.Counts()
+        counts_of_version = evidences.Counts()
         for n in range(counts[0]):
-            made.add(took_us + n % 7, n < counts[1], False)
-        found[evidences.TallyKey(route, version, domain)] = made
-    return found
+            counts_of_version.add(latency_us + n % 7, n < counts[1], False)
+        window_counts[evidences.TallyKey(route, version, domain)] = (
+            counts_of_version
+        )
+    return window_counts
 
 
-def judge() -> judges.Judge:
-    return judges.Judge("v1", "v2", threshold=11.7, tolerance=0.005)
+def version_comparison() -> comparisons.VersionComparison:
+    return comparisons.VersionComparison(
+        "v1", "v2", threshold=11.7, tolerance=0.005
+    )
 
 
 def seconds_to_verdict(*windows: evidences.Window, limit: int = 60) -> int:
-    """Return after how many seconds a verdict falls; -1 for none."""
-    judging = judge()
+    """Return the seconds until there is a verdict, -1 if there is none."""
+    comparison = version_comparison()
     for second in range(limit):
-        if judging.add(windows[min(second, len(windows) - 1)]):
+        if comparison.add(windows[min(second, len(windows) - 1)]):
             return second + 1
     return -1
 
 
 @pytest.mark.parametrize(
-    ("case", "found", "at_most"),
+    ("case", "window_counts", "at_most"),
     [
         ("fails half at 2%", window((98, 0), (2, 1)), 6),
         ("fails 2% at half", window((100, 0), (100, 2)), 20),
         ("twice as slow", window((95, 0), (5, 0), new_us=25_000), 8),
-        ("fails all at once", window((98, 0), (2, 2)), 3),
+        ("fails all from the start", window((98, 0), (2, 2)), 3),
     ],
 )
-def test_bad_versions_are_condemned(
-    case: str, found: evidences.Window, at_most: int
+def test_bad_versions_get_a_verdict(
+    case: str, window_counts: evidences.Window, at_most: int
 ) -> None:
-    assert 0 < seconds_to_verdict(found) <= at_most
+    assert 0 < seconds_to_verdict(window_counts) <= at_most
 
 
 @pytest.mark.parametrize(
-    ("case", "found"),
+    ("case", "window_counts"),
     [
-        ("both fail alike", window((90, 27), (10, 3))),
+        ("both fail equally", window((90, 27), (10, 3))),
         ("all fail", window((90, 90), (10, 10))),
         ("the old one is worse", window((90, 20), (10, 0))),
-        ("a trifle slower", window((90, 0), (10, 0), new_us=10_600)),
-        ("only the new one is asked", window((0, 0), (50, 25))),
+        ("slightly slower", window((90, 0), (10, 0), new_us=10_600)),
+        ("only the new one has traffic", window((0, 0), (50, 25))),
     ],
 )
-def test_good_versions_are_not(case: str, found: evidences.Window) -> None:
-    assert seconds_to_verdict(found) == -1
+def test_good_versions_get_no_verdict(
+    case: str, window_counts: evidences.Window
+) -> None:
+    assert seconds_to_verdict(window_counts) == -1
 
 
-def test_a_fault_that_comes_late_is_caught_as_fast() -> None:
-    """A version serves well for a minute, then fails one in five.
+def test_a_late_fault_is_detected_as_fast() -> None:
+    """A version works for a minute, then fails one request in five.
 
-    Evidence in its favour must not outweigh what comes now.
+    Earlier evidence in its favor must not outweigh the new failures.
     """
     good = window((95, 0), (20, 0))
     bad = window((95, 0), (20, 4))
     assert seconds_to_verdict(*([good] * 60 + [bad]), limit=70) <= 64
 
 
-def test_a_domain_without_the_old_version_tells_nothing() -> None:
-    """The new version stands only where a dependency fails.
+def test_a_domain_without_the_old_version_is_no_evidence() -> None:
+    """The new version runs only in the domain where a dependency fails.
 
-    Compared across domains it would look guilty.
+    Compared across domains, the new version would seem to be at fault.
     """
-    found = window((100, 0), (0, 0), domain="a")
-    found |= window((0, 0), (20, 10), domain="b")
-    assert seconds_to_verdict(found) == -1
+    window_counts = window((100, 0), (0, 0), domain="a")
+    window_counts |= window((0, 0), (20, 10), domain="b")
+    assert seconds_to_verdict(window_counts) == -1
 
 
 def test_cold_requests_do_not_count_as_slow() -> None:
@@ -101,12 +116,12 @@
 
 
 def test_false_alarms_stay_under_their_bound() -> None:
-    """Both versions fail alike at random, for 300 moves of two minutes.
+    """Both versions fail at the same rate, in 300 moves of two minutes.
 
-    The bound says that at most 0.5% of such moves are condemned.
+    The bound is a verdict in at most 0.5% of such moves.
     """
     rng = random.Random(5)
-    threshold = judges.threshold_for(0.005, 600)
+    threshold = comparisons.threshold_for(0.005, 600)
     condemned = 0
     for _ in range(300):
         detector = sequential.Detector()
@@ -124,13 +139,13 @@
     ("new_bad", "new_total", "old_bad", "old_total"),
     [(0, 0, 5, 10), (5, 10, 0, 0), (0, 10, 0, 90), (10, 10, 90, 90)],
 )
-def test_strata_that_tell_nothing(
+def test_strata_without_information(
     new_bad: int, new_total: int, old_bad: int, old_total: int
 ) -> None:
-    found = sequential.log_likelihood_ratio(
+    evidence = sequential.log_likelihood_ratio(
         4.0, new_bad, new_total, old_bad, old_total
     )
-    assert found == pytest.approx(0.0, abs=1e-9)
+    assert evidence == pytest.approx(0.0, abs=1e-9)
 
 
 def report(
@@ -146,25 +161,25 @@
     ("case", "reports", "requests"),
     [
         ("in order", [(1, 5), (2, 9)], 9),
-        ("doubled", [(1, 5), (1, 5), (2, 9), (2, 9)], 9),
-        ("crossed", [(2, 9), (1, 5)], 9),
+        ("duplicated", [(1, 5), (1, 5), (2, 9), (2, 9)], 9),
+        ("reordered", [(2, 9), (1, 5)], 9),
         ("one lost", [(1, 5), (3, 20)], 20),
     ],
 )
-def test_reports_count_once(
+def test_each_report_counts_once(
     case: str, reports: list[tuple[int, int]], requests: int
 ) -> None:
     merger = evidences.Merger()
     for sequence, count in reports:
-        merger.hear(report(sequence, count, 0), 0)
+        merger.add_report(report(sequence, count, 0), 0)
     (counts,) = merger.take_window().values()
     assert counts.requests == requests
 
 
-def test_a_restarted_proxy_counts_from_nothing() -> None:
+def test_a_restarted_proxy_counts_from_zero() -> None:
     merger = evidences.Merger()
-    merger.hear(report(9, 50, 0), 0)
-    merger.hear(report(1, 4, 0, incarnation=2), 0)
-    merger.hear(report(10, 60, 0), 0)
+    merger.add_report(report(9, 50, 0), 0)
+    merger.add_report(report(1, 4, 0, incarnation=2), 0)
+    merger.add_report(report(10, 60, 0), 0)
     (counts,) = merger.take_window().values()
     assert counts.requests == 54
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -1,18 +1,18 @@
-"""When steps with a bounded cost are due, and when a version is good."""
+"""When steps with bounded exposure are due and a version is accepted."""
 
 import dataclasses
 
 import pytest
 
 from trefoil_moves import exposure as exposures
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import pacing
 from trefoil_moves import phases
 from trefoil_wire import messages
 
 SPAN_MS = 15_000
 WATCH_MS = 500
-KNOBS = knob_store.Knobs().paced_for(SPAN_MS)
+PARAMETERS = move_parameters.MoveParameters().for_span(SPAN_MS)
 RISK = 80
 
 
@@ -35,27 +35,31 @@
     )
 
 
-def bounded(given: float = 0.0, total: float = 0.0) -> pacing.BoundedPacing:
-    exposure = exposures.Exposure("v2", part=0.1, requests=50, span_ms=SPAN_MS)
-    exposure.given = given
-    exposure.total = total
-    return pacing.BoundedPacing(KNOBS, exposure)
+def bounded(
+    new_requests: float = 0.0, all_requests: float = 0.0
+) -> pacing.BoundedPacing:
+    exposure = exposures.Exposure(
+        "v2", max_share=0.1, extra_requests=50, span_ms=SPAN_MS
+    )
+    exposure.new_requests = new_requests
+    exposure.all_requests = all_requests
+    return pacing.BoundedPacing(PARAMETERS, exposure)
 
 
-STANDING = pacing.Standing(
+STATUS = pacing.MoveStatus(
     at_step_ms=5000,
     left_ms=10_000,
     counted_ms=5000,
-    seen_late_ms=400,
-    has_shown=True,
+    detection_delay_ms=400,
+    has_evidence=True,
     leans_against=False,
     is_clear=False,
-    is_doubtful=False,
+    is_unfavorable=False,
 )
 
 
-def standing(**changes: float | bool) -> pacing.Standing:
-    return dataclasses.replace(STANDING, **changes)
+def status(**changes: float | bool) -> pacing.MoveStatus:
+    return dataclasses.replace(STATUS, **changes)
 
 
 @pytest.mark.parametrize(
@@ -64,39 +68,41 @@
 def test_a_step_beyond_the_share_at_risk_waits_until_it_is_due(
     left_ms: int, share: int
 ) -> None:
-    """Evidence of five seconds says nothing of a fault in the sixth."""
+    """Five seconds of good evidence don't rule out a fault in the sixth."""
     move = a_move(RISK)
-    assert bounded().next_share(move, standing(left_ms=left_ms)) == share
+    assert bounded().next_share(move, status(left_ms=left_ms)) == share
 
 
-def test_the_steps_to_the_whole_leave_time_for_a_new_leader() -> None:
+def test_the_steps_to_full_traffic_leave_time_for_a_new_leader() -> None:
     move = a_move(320)
     left_ms = pacing.LEADER_CHANGE_MS + WATCH_MS
-    assert bounded().next_share(move, standing(left_ms=left_ms)) == 1000
+    assert bounded().next_share(move, status(left_ms=left_ms)) == 1000
 
 
 @pytest.mark.parametrize("left_ms", [3000, 1500])
-def test_nothing_is_added_while_much_speaks_against_a_version(
+def test_the_share_does_not_grow_after_an_early_warning(
     left_ms: int,
 ) -> None:
-    """It got all the traffic when half of what condemns it was known."""
-    leaning = standing(left_ms=left_ms, leans_against=True)
+    """With half of the evidence for a verdict, more traffic adds harm."""
+    early_warning = status(left_ms=left_ms, leans_against=True)
     move = a_move(RISK)
-    assert bounded().next_share(move, leaning) == RISK
-    assert bool(bounded().doubt(move, leaning)) is (left_ms == 1500)
+    assert bounded().next_share(move, early_warning) == RISK
+    assert bool(bounded().rollback_reason(move, early_warning)) is (
+        left_ms == 1500
+    )
 
 
 @pytest.mark.parametrize(
-    ("given", "total", "share"),
+    ("new_requests", "all_requests", "share"),
     [(0, 0, 30), (0, 100, RISK), (100, 4500, 30)],
 )
-def test_a_move_waits_at_a_share_that_it_can_pay_for(
-    given: int, total: int, share: int
+def test_a_move_waits_at_a_share_within_its_budget(
+    new_requests: int, all_requests: int, share: int
 ) -> None:
-    """What waiting costs is missing when all the traffic shows a fault."""
+    """Budget spent on waiting is missing if full traffic reveals a fault."""
     move = a_move(30, phases.TRIAL)
-    found = bounded(given, total).next_share(move, standing())
-    assert found == share
+    share_due = bounded(new_requests, all_requests).next_share(move, status())
+    assert share_due == share
 
 
 @pytest.mark.parametrize(
@@ -108,17 +114,17 @@
         (500, False, True),
     ],
 )
-def test_a_watch_that_saw_nothing_goes_on(
+def test_a_watch_without_clearance_continues(
     left_ms: int, is_clear: bool, is_good: bool
 ) -> None:
-    """A bad version was good once its watch had lasted a second."""
+    """A watch that ends by time alone would accept a bad version."""
     move = a_move(1000, phases.WATCH)
-    seen = standing(at_step_ms=2000, left_ms=left_ms, is_clear=is_clear)
+    seen = status(at_step_ms=2000, left_ms=left_ms, is_clear=is_clear)
     assert bounded(500, 1500).is_good(move, seen) is is_good
 
 
 @pytest.mark.parametrize(
-    ("given", "left_ms", "at_step_ms", "is_taken_back"),
+    ("new_requests", "left_ms", "at_step_ms", "is_taken_back"),
     [
         (500, 1500, 2000, True),
         (500, 1500, 400, False),
@@ -126,13 +132,19 @@
         (50, 400, 2000, True),
     ],
 )
-def test_a_version_that_got_its_part_and_is_doubtful_is_taken_back(
-    given: int, left_ms: int, at_step_ms: int, is_taken_back: bool
+def test_an_unfavorable_version_without_budget_is_taken_back(
+    new_requests: int, left_ms: int, at_step_ms: int, is_taken_back: bool
 ) -> None:
-    """Some of its requests failed, too few to condemn it, and it went on."""
+    """Too few requests fail for a verdict, but the budget is spent.
+
+    Without this rule the version would keep its traffic.
+    """
     move = a_move(1000, phases.WATCH)
-    seen = standing(at_step_ms=at_step_ms, left_ms=left_ms, is_doubtful=True)
-    assert bool(bounded(given, 1500).doubt(move, seen)) is is_taken_back
-    assert not bounded(given, 1500).is_good(move, seen)
-    fine = dataclasses.replace(seen, is_doubtful=False)
-    assert not bounded(given, 1500).doubt(move, fine)
+    seen = status(at_step_ms=at_step_ms, left_ms=left_ms, is_unfavorable=True)
+    assert (
+        bool(bounded(new_requests, 1500).rollback_reason(move, seen))
+        is is_taken_back
+    )
+    assert not bounded(new_requests, 1500).is_good(move, seen)
+    favorable = dataclasses.replace(seen, is_unfavorable=False)
+    assert not bounded(new_requests, 1500).rollback_reason(move, favorable)
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -1,4 +1,4 @@
-"""Moves of seconds: three steps, and little exposure of what is bad."""
+"""Moves of seconds: three steps, and little exposure of bad versions."""
 
 import dataclasses
 import typing
@@ -6,7 +6,7 @@
 import pytest
 
 from trefoil_moves import conductor as conductors
-from trefoil_moves import knobs as knob_store
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import phases
 from trefoil_wire import messages
 
@@ -15,7 +15,7 @@
 REPORT_MS = 500
 USUAL_BUCKET = 40
 SLOW_BUCKET = 52
-# Cold targets' latencies are not counted, so that no step has its evidence.
+# Latencies of cold targets are not counted, so no step has enough evidence.
 COLD = -1
 EXPOSURE_SHARE = 0.1
 EXPOSURE_SLACK = 50
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Tallies:
-    """What all proxies counted so far of one version."""
+    """Cumulative counts of one version over all proxies."""
 
     requests: float = 0
     failures: float = 0
     latencies: dict[int, float] = dataclasses.field(default_factory=dict)
 
     def add(self, requests: float, failed: float, bucket: int) -> None:
-        """Count requests that all took about the same time."""
+        """Count requests of the same latency bucket."""
         self.requests += requests
         self.failures += failed
         if bucket == COLD:
@@ -51,31 +51,38 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Played:
-    """How a move went."""
+class MoveResult:
+    """Result of a simulated move.
+
+    Args:
+        outcome: A value of ``messages.Outcome``.
+        ended_ms: When the move ended.
+        exposed: Requests that the new version got.
+    """
 
     outcome: int
     ended_ms: int
     exposed: float
 
 
-def play(
+def simulate_move(
     *,
     fails: typing.Callable[[int], float] = lambda now_ms: 0.0,
     bucket: typing.Callable[[str, int], int] = lambda v, t: USUAL_BUCKET,
     watch_ms: int = 1000,
     new_leader_ms: int = -1,
-    loaded: float = 0.0,
+    failures_under_load: float = 0.0,
     rate: int = RATE,
-) -> Played:
-    """Play a move; requests follow the shares at once.
+) -> MoveResult:
+    """Simulate a move; new shares take effect immediately.
 
     Args:
         fails: Part of the new version's requests that fail, by time.
-        bucket: Latency of a version's requests, by time.
-        watch_ms: How long the watch after the whole share lasts.
-        new_leader_ms: When another leader takes the move over.
-        loaded: Part of its requests that fail once it has them all.
+        bucket: Latency bucket of a version's requests, by time.
+        watch_ms: Length of the watch at full traffic.
+        new_leader_ms: When another leader takes over; -1 for never.
+        failures_under_load: Part of the new version's requests that fail
+            while it has all the traffic.
         rate: Requests a second.
     """
     move = messages.MoveRecord(
@@ -94,21 +101,21 @@
         0,
         [],
     )
-    knobs = knob_store.Knobs(
+    parameters = move_parameters.MoveParameters(
         exposed_part=EXPOSURE_SHARE, exposed_requests=EXPOSURE_SLACK
     )
-    conductor = conductors.Conductor(move, knobs, 0)
+    conductor = conductors.Conductor(move, parameters, 0)
     counts = {"v1": Tallies(), "v2": Tallies()}
     for now_ms in range(0, SPAN_MS + 4000, 100):
         if now_ms == new_leader_ms:
-            conductor = conductors.Conductor(move, knobs, now_ms)
+            conductor = conductors.Conductor(move, parameters, now_ms)
         new = rate * 0.1 * move.permille / 1000
-        whole = move.permille == conductors.WHOLE
-        failed = max(fails(now_ms), loaded if whole else 0.0)
+        is_full = move.permille == conductors.FULL_PERMILLE
+        failed = max(fails(now_ms), failures_under_load if is_full else 0.0)
         counts["v2"].add(new, new * failed, bucket("v2", now_ms))
         counts["v1"].add(rate * 0.1 - new, 0, bucket("v1", now_ms))
         if now_ms % REPORT_MS == 0:
-            tallies = [found.tally(v) for v, found in counts.items()]
+            tallies = [result.tally(v) for v, result in counts.items()]
             conductor.hear(
                 messages.EvidenceReport("m", "h", 1, now_ms + 1, tallies),
                 now_ms,
@@ -116,7 +123,7 @@
         decision = conductor.decide(move, FULL, now_ms=now_ms, wall_ms=now_ms)
         if isinstance(decision, conductors.End):
             exposed = counts["v2"].requests
-            return Played(decision.outcome, now_ms, exposed)
+            return MoveResult(decision.outcome, now_ms, exposed)
         if decision is not None:
             move.permille = decision.permille
             move.phase = decision.phase
@@ -127,7 +134,7 @@
 
 RATES = [20, 130, 300, 600]
 TAKEN_BACK_MS = 600
-# A change of leader in the midst of the last steps.
+# Changes of leader during the last steps.
 LAST_CHANGES_MS = [12_000, 12_500, 13_000, 13_200, 13_400, 13_600]
 
 
@@ -136,154 +143,156 @@
     return rate * SPAN_MS / 1000 * EXPOSURE_SHARE + EXPOSURE_SLACK
 
 
-def test_a_good_version_is_whole_in_time() -> None:
-    found = play()
-    assert found.outcome == messages.Outcome.DONE
-    assert found.ended_ms <= SPAN_MS
+def test_a_good_version_is_done_in_time() -> None:
+    result = simulate_move()
+    assert result.outcome == messages.Outcome.DONE
+    assert result.ended_ms <= SPAN_MS
 
 
 def test_a_version_that_fails_at_once_is_taken_back_in_seconds() -> None:
-    found = play(fails=lambda now_ms: 0.34)
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.ended_ms <= 5000
-    assert found.exposed <= allowed()
+    result = simulate_move(fails=lambda now_ms: 0.34)
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.ended_ms <= 5000
+    assert result.exposed <= allowed()
 
 
 def test_a_version_that_fails_later_is_taken_back() -> None:
-    """It is well for three seconds, as if it had a leak."""
-    found = play(fails=lambda now_ms: 0.5 * (now_ms >= 3000))
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed <= allowed()
+    """The version works for three seconds, as with a resource leak."""
+    result = simulate_move(fails=lambda now_ms: 0.5 * (now_ms >= 3000))
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed <= allowed()
 
 
 def test_a_version_that_fails_under_load_is_taken_back() -> None:
-    """It is well with a third of the traffic and fails with all of it.
+    """The version works with a third of the traffic and fails with all.
 
-    What it got on the way leaves little for the time until the fault is
-    seen, agreed and spread to every proxy: 0.6 s more at the whole rate.
+    The earlier steps must leave enough budget for the time until the fault is
+    detected, committed and published to every proxy: 0.6 s at the full rate.
     """
-    found = play(loaded=0.15)
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed + 0.6 * RATE <= allowed() - EXPOSURE_SLACK
+    result = simulate_move(failures_under_load=0.15)
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed + 0.6 * RATE <= allowed() - EXPOSURE_SLACK
 
 
 def test_a_version_that_is_slow_is_taken_back() -> None:
-    found = play(
+    result = simulate_move(
         bucket=lambda v, t: SLOW_BUCKET if v == "v2" else USUAL_BUCKET
     )
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed <= allowed()
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed <= allowed()
 
 
-def test_what_slows_both_versions_does_not_condemn_the_new_one() -> None:
-    """After the whole share something slows every target down.
+def test_slowness_of_both_versions_does_not_end_the_move() -> None:
+    """At full traffic some other cause slows every target down.
 
-    The old version has no traffic then. Latency compared with its past
-    alone takes a good version back, and its operator misses the deadline.
+    The old version has no traffic then. A comparison with its past latency
+    alone would take a good version back and miss the deadline.
     """
-    found = play(
+    result = simulate_move(
         bucket=lambda v, t: SLOW_BUCKET if t >= 5500 else USUAL_BUCKET,
         watch_ms=4000,
     )
-    assert found.outcome == messages.Outcome.DONE
+    assert result.outcome == messages.Outcome.DONE
 
 
-def test_a_version_that_turns_slow_after_the_whole_share_is_taken_back() -> (
-    None
-):
-    """It is well until it has all traffic, then each request drags.
+def test_a_version_that_turns_slow_at_full_traffic_is_taken_back() -> None:
+    """The version works until it has all traffic, then becomes slow.
 
-    The old version gets a part again, is as fast as ever beside it, and the
-    move is taken back.
+    The old version gets a part back and is as fast as before, so the move is
+    taken back.
     """
-    found = play(
+    result = simulate_move(
         bucket=lambda v, t: (
             SLOW_BUCKET if v == "v2" and t >= 7500 else USUAL_BUCKET
         ),
         watch_ms=4000,
     )
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.ended_ms <= 7500 + 5000
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.ended_ms <= 7500 + 5000
 
 
-def test_a_leader_that_takes_over_in_the_watch_sees_a_late_fault() -> None:
-    """The leader is lost after the whole share, then the version fails.
+def test_a_new_leader_in_the_watch_detects_a_late_fault() -> None:
+    """The leader changes at full traffic, then the version fails.
 
-    The next leader learns what was before from the proxies' cumulative
-    reports; without the old version's past it had nothing to compare with
-    and ended the move as done.
+    The new leader gets earlier counts from the proxies' cumulative reports.
+    Without the old version's counts it would have nothing to compare with and
+    end the move as done.
     """
-    found = play(
+    result = simulate_move(
         fails=lambda now_ms: 0.3 * (now_ms >= 10_500),
         watch_ms=6000,
         new_leader_ms=9000,
     )
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.ended_ms <= 10_500 + 3000
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.ended_ms <= 10_500 + 3000
 
 
 @pytest.mark.parametrize("rate", [150, 300, 600])
-def test_a_fault_under_load_is_bounded_though_evidence_was_thin(
+def test_exposure_is_bounded_despite_thin_evidence(
     rate: int,
 ) -> None:
-    """Steps that waited for evidence in vain left nothing for the last one.
+    """Steps that wait for evidence must leave budget for the last step.
 
-    The version's targets are cold, so that no step has its evidence, and it
-    fails with all the traffic: 0.6 s more until the fault is agreed and
-    spread to every proxy.
+    The version's targets are cold, so no step has enough evidence, and it
+    fails with all the traffic: for 0.6 s more until the fault is committed
+    and published to every proxy.
     """
-    found = play(
+    result = simulate_move(
         bucket=lambda v, t: COLD if v == "v2" else USUAL_BUCKET,
-        loaded=0.15,
+        failures_under_load=0.15,
         rate=rate,
     )
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed + 0.6 * rate <= allowed(rate)
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed + 0.6 * rate <= allowed(rate)
 
 
 @pytest.mark.parametrize("new_leader_ms", [1500, 3500, 4500])
-def test_a_leader_that_takes_over_knows_what_was_spent(
+def test_a_new_leader_knows_the_exposure_so_far(
     new_leader_ms: int,
 ) -> None:
-    """Counted from its own start, the version would get it all once more."""
-    found = play(
+    """If it counted from its own start, the budget would be spent twice."""
+    result = simulate_move(
         bucket=lambda v, t: COLD if v == "v2" else USUAL_BUCKET,
-        loaded=0.15,
+        failures_under_load=0.15,
         new_leader_ms=new_leader_ms,
     )
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed + 0.6 * RATE <= allowed()
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed + 0.6 * RATE <= allowed()
 
 
 @pytest.mark.parametrize("rate", [150, 300, 600])
-def test_a_good_version_of_thin_evidence_is_whole_in_time(rate: int) -> None:
-    found = play(
+def test_a_good_version_with_thin_evidence_is_done_in_time(rate: int) -> None:
+    result = simulate_move(
         bucket=lambda v, t: COLD if v == "v2" else USUAL_BUCKET, rate=rate
     )
-    assert found.outcome == messages.Outcome.DONE
-    assert found.ended_ms <= SPAN_MS - 1000
+    assert result.outcome == messages.Outcome.DONE
+    assert result.ended_ms <= SPAN_MS - 1000
 
 
 @pytest.mark.parametrize("rate", RATES)
-@pytest.mark.parametrize("turns_ms", [3000, 5000, 7000, 9000, 11_000])
-def test_a_version_that_turns_bad_late_is_not_taken_for_good(
-    turns_ms: int, rate: int
+@pytest.mark.parametrize("fault_ms", [3000, 5000, 7000, 9000, 11_000])
+def test_a_version_that_fails_late_is_not_accepted(
+    fault_ms: int, rate: int
 ) -> None:
-    """It was done by half of its time; nobody watched it any more."""
-    found = play(fails=lambda now_ms: 0.4 * (now_ms >= turns_ms), rate=rate)
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed + TAKEN_BACK_MS / 1000 * rate <= allowed(rate)
+    """A move that is done by half of its time is not watched afterwards."""
+    result = simulate_move(
+        fails=lambda now_ms: 0.4 * (now_ms >= fault_ms), rate=rate
+    )
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed + TAKEN_BACK_MS / 1000 * rate <= allowed(rate)
 
 
 @pytest.mark.parametrize("new_leader_ms", LAST_CHANGES_MS)
 @pytest.mark.parametrize("rate", RATES)
-def test_a_new_leader_does_not_end_a_watch_that_saw_nothing(
+def test_a_new_leader_does_not_end_a_watch_without_evidence(
     rate: int, new_leader_ms: int
 ) -> None:
-    """Its watch ended by its clock, before the first failures were told."""
-    found = play(loaded=0.4, rate=rate, new_leader_ms=new_leader_ms)
-    assert found.outcome == messages.Outcome.TAKEN_BACK
-    assert found.exposed + TAKEN_BACK_MS / 1000 * rate <= allowed(rate)
+    """A watch that ends by time alone ends before failures are reported."""
+    result = simulate_move(
+        failures_under_load=0.4, rate=rate, new_leader_ms=new_leader_ms
+    )
+    assert result.outcome == messages.Outcome.TAKEN_BACK
+    assert result.exposed + TAKEN_BACK_MS / 1000 * rate <= allowed(rate)
 
 
 @pytest.mark.parametrize("new_leader_ms", [-1, 3000, 8000, *LAST_CHANGES_MS])
@@ -291,7 +300,7 @@
 def test_a_good_version_is_done_in_time_whoever_leads(
     rate: int, new_leader_ms: int
 ) -> None:
-    """Steps that wait must leave a new leader the time to end the move."""
-    found = play(rate=rate, new_leader_ms=new_leader_ms)
-    assert found.outcome == messages.Outcome.DONE
-    assert found.ended_ms <= SPAN_MS
+    """Delayed steps must leave time for a new leader to end the move."""
+    result = simulate_move(rate=rate, new_leader_ms=new_leader_ms)
+    assert result.outcome == messages.Outcome.DONE
+    assert result.ended_ms <= SPAN_MS
--- a/libs/moves/tests/test_state.py
+++ b/libs/moves/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The agreed state: commands run at most once, and never in part."""
+"""The replicated state: commands run at most once and never in part."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -39,14 +39,14 @@
 
 def command(
     body: object,
-    number: str = "1",
+    command_id: str = "1",
     operator: str = "ann",
     issued_ms: int = NOW_MS,
     stamped_ms: int = NOW_MS,
 ) -> messages.Command:
     kind, data = frames.pack_any(body)
     return messages.Command(
-        command_id=number,
+        command_id=command_id,
         operator_name=operator,
         issued_ms=issued_ms,
         kind=kind,
@@ -71,9 +71,9 @@
 
 
 def test_a_resend_gets_the_same_answer_and_runs_once() -> None:
-    """The answer is lost on its way and the operator sends again.
+    """The reply is lost and the operator sends the command again.
 
-    The command was agreed already; run twice, a second move would start.
+    It was committed already; if it ran twice, a second move would start.
     """
     state = applied()
     first = state.apply(2, command(move(), "m"))
@@ -82,21 +82,21 @@
     assert len(state.moves) == 1
 
 
-def test_equal_numbers_have_one_winner() -> None:
-    """Two operators draw the same number for different commands."""
+def test_a_command_id_belongs_to_its_first_command() -> None:
+    """Two operators use the same id for different commands."""
     state = applied()
-    won = state.apply(2, command(move("v2"), "7", "ann"))
-    lost = state.apply(3, command(move("v3"), "7", "ben"))
-    assert won.outcome == Outcome.DONE
-    assert lost.outcome == Outcome.NOT_RUN
+    first = state.apply(2, command(move("v2"), "7", "ann"))
+    second = state.apply(3, command(move("v3"), "7", "ben"))
+    assert first.outcome == Outcome.DONE
+    assert second.outcome == Outcome.NOT_RUN
     assert [m.to_version for m in state.moves.values()] == ["v2"]
-    assert state.answer(command(move("v2"), "7", "ann")) == won
+    assert state.answer(command(move("v2"), "7", "ann")) == first
 
 
 def test_a_cancelled_command_never_runs() -> None:
-    """An operator gives up on a pending command, which then arrives.
+    """An operator cancels a pending command, which then arrives.
 
-    The cancel was told "done", so the command must not run any more.
+    The cancellation was confirmed, so the command must not run any more.
     """
     state = applied()
     state.apply(2, command(messages.CancelCommand("late"), "c"))
@@ -105,7 +105,7 @@
     assert not state.moves
 
 
-def test_a_cancel_after_the_fact_is_not_run() -> None:
+def test_a_cancel_of_a_completed_command_is_refused() -> None:
     state = applied()
     state.apply(2, command(move(), "m"))
     cancel = state.apply(3, command(messages.CancelCommand("m"), "c"))
@@ -118,13 +118,13 @@
     [
         ("unknown service", configuration(route_service="x"), "no service x"),
         ("unknown resource", configuration(resource="z"), "no resource z"),
-        ("wrong base", None, "expected revision 9"),
+        ("wrong revision", None, "expected revision 9"),
         ("same version", move("v1"), "the same"),
         ("not in force", move("v3", "v2"), "at version v1"),
         ("no such service", messages.ReverseMove("x"), "no move runs"),
     ],
 )
-def test_what_cannot_run_changes_nothing(
+def test_a_refused_command_changes_nothing(
     case: str, body: object, reason: str
 ) -> None:
     state = applied()
@@ -155,10 +155,10 @@
     assert shares_of(state) == {"v1": 1000}
 
 
-def test_taking_back_is_a_new_revision() -> None:
-    """A bad version is taken back: the split is what it was before.
+def test_taking_a_move_back_is_a_new_revision() -> None:
+    """A bad version is taken back and the shares are as before.
 
-    The revision still goes up, since no proxy goes back to an older one.
+    The revision must increase, since proxies ignore older revisions.
     """
     state = applied()
     state.apply(2, command(move(), "a"))
@@ -171,13 +171,13 @@
     assert state.moves["a"].outcome == Outcome.TAKEN_BACK
 
 
-def test_old_commands_are_refused_not_forgotten() -> None:
-    """A command is sent again two days later; its outcome is forgotten.
+def test_commands_older_than_the_retention_are_refused() -> None:
+    """A command is sent again two days later, when its outcome is deleted.
 
-    It may have run, so it must not run now, and "not run" would be a lie.
+    It may have run, so it must not run now, and "not run" might be wrong.
     """
     state = applied()
-    later_ms = NOW_MS + 2 * states.REMEMBER_MS
+    later_ms = NOW_MS + 2 * states.RETENTION_MS
     state.apply(2, command(move(), "m", stamped_ms=NOW_MS))
     state.apply(
         3,
@@ -195,54 +195,58 @@
 
 
 class Agreed(stateful.RuleBasedStateMachine):
-    """Commands in any order, resent, racing, with snapshots in between."""
+    """Commands in any order, resent or with equal ids, and snapshots."""
 
-    numbers = st.sampled_from(["1", "2", "3", "4", "5", "6"])
+    command_ids = st.sampled_from(["1", "2", "3", "4", "5", "6"])
 
     @stateful.initialize()
     def begin(self) -> None:
         self.state = applied()
         self.index = 1
-        self.told: dict[tuple[str, int], int] = {}
+        self.outcomes: dict[tuple[str, int], int] = {}
         self.revision = self.state.items.revision
 
-    def _apply(self, body: object, number: str, operator: str) -> None:
+    def _apply(self, body: object, command_id: str, operator: str) -> None:
         self.index += 1
-        made = command(body, number, operator)
+        made = command(body, command_id, operator)
         past = self.state.apply(self.index, made)
         if past is None:
             return
-        key = (number, states.command_digest(made))
-        assert self.told.setdefault(key, past.outcome) == past.outcome
+        key = (command_id, states.command_digest(made))
+        assert self.outcomes.setdefault(key, past.outcome) == past.outcome
 
     @stateful.rule(
-        number=numbers,
+        command_id=command_ids,
         operator=st.sampled_from(["ann", "ben"]),
         to=st.sampled_from(["v1", "v2", "v3"]),
         start=st.sampled_from(["v1", "v2"]),
     )
-    def a_move(self, number: str, operator: str, to: str, start: str) -> None:
-        self._apply(move(to, start), number, operator)
+    def a_move(
+        self, command_id: str, operator: str, to: str, start: str
+    ) -> None:
+        self._apply(move(to, start), command_id, operator)
 
-    @stateful.rule(number=numbers)
-    def a_reversal(self, number: str) -> None:
-        self._apply(messages.ReverseMove("tables"), number, "ann")
+    @stateful.rule(command_id=command_ids)
+    def a_reversal(self, command_id: str) -> None:
+        self._apply(messages.ReverseMove("tables"), command_id, "ann")
 
-    @stateful.rule(number=numbers, cancelled=numbers)
-    def a_cancel(self, number: str, cancelled: str) -> None:
-        self._apply(messages.CancelCommand(cancelled), number, "ann")
+    @stateful.rule(command_id=command_ids, cancelled=command_ids)
+    def a_cancel(self, command_id: str, cancelled: str) -> None:
+        self._apply(messages.CancelCommand(cancelled), command_id, "ann")
 
-    @stateful.rule(number=numbers, permille=st.sampled_from([20, 500, 1000]))
-    def a_step(self, number: str, permille: int) -> None:
-        step = messages.StepMove(number, permille, phases.RAMP, "")
+    @stateful.rule(
+        command_id=command_ids, permille=st.sampled_from([20, 500, 1000])
+    )
+    def a_step(self, command_id: str, permille: int) -> None:
+        step = messages.StepMove(command_id, permille, phases.RAMP, "")
         self._apply(step, "", "leader")
 
     @stateful.rule(
-        number=numbers,
+        command_id=command_ids,
         outcome=st.sampled_from([Outcome.DONE, Outcome.TAKEN_BACK]),
     )
-    def an_end(self, number: str, outcome: int) -> None:
-        self._apply(messages.EndMove(number, outcome, ""), "", "leader")
+    def an_end(self, command_id: str, outcome: int) -> None:
+        self._apply(messages.EndMove(command_id, outcome, ""), "", "leader")
 
     @stateful.rule()
     def a_snapshot(self) -> None:
@@ -257,13 +261,13 @@
             self.revision = self.state.items.revision
 
     @stateful.invariant()
-    def shares_are_whole(self) -> None:
+    def shares_add_up_to_all_traffic(self) -> None:
         if hasattr(self, "state"):
             assert sum(shares_of(self.state).values()) == 1000
             assert len(self.state.running_moves()) <= 1
 
     @stateful.invariant()
-    def without_a_move_one_version_has_all(self) -> None:
+    def without_a_move_one_version_has_all_traffic(self) -> None:
         if hasattr(self, "state") and not self.state.running_moves():
             assert 1000 in shares_of(self.state).values()
 
