--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -238,7 +238,7 @@
         was forwarded or appended may still run, so "not run" would be a
         guess.
         """
-        known = self.state.answer(command)
+        known = self.state.recorded_outcome(command)
         if known is not None:
             reply(operators.reply_from(known))
             return
@@ -379,7 +379,7 @@
 
     def _answer_waiters(self, command_id: str) -> None:
         for waiter in self.commands.take(command_id):
-            past = self.state.answer(waiter.request)
+            past = self.state.recorded_outcome(waiter.request)
             if past is not None:
                 waiter.reply(operators.reply_from(past))
 
--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -16,14 +16,17 @@
 from . import pacing as pacings
 from . import phases
 
+# Windows per move and per comparison that the false-alarm rate is based on.
 EXPECTED_WINDOWS = 600
 COMPARE_WINDOWS = 40
+# Shares of the new version in permille, used in turn.
 COMPARE_SHARES = (250, 800)
 COMPARE_EXTENSION_FACTOR = 3
 LOW_TRAFFIC_SHARE = 0.02
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Interval between two decisions on a move.
 DECIDE_MS = 100
+# New slots per old slot that suffice for all the traffic.
 SLOTS_MARGIN = 0.9
 
 
@@ -46,7 +49,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Step:
-    """Decision to set the new version's share of the traffic."""
+    """Decision to set the new version's share of the traffic.
+
+    Args:
+        permille: The share.
+        phase: One of the names in ``phases``.
+        reason: Explanation for operators, stored in the move's history.
+    """
 
     permille: int
     phase: str
@@ -55,7 +64,12 @@
 
 @dataclasses.dataclass(slots=True)
 class End:
-    """Decision to end the move with an outcome."""
+    """Decision to end the move with an outcome.
+
+    Args:
+        outcome: A value of ``messages.Outcome``.
+        reason: Explanation for operators, stored with the move.
+    """
 
     outcome: int
     reason: str
@@ -213,7 +227,7 @@
         The proxies' cumulative reports include what was counted before. If
         the step started over, it would last its full time and cost its
         exposure a second time. A watch does start over, since this leader
-        has no evidence of it yet.
+        has received no evidence from it yet.
         """
         self.counted_since_ms = now_ms - (wall_ms - move.started_ms)
         if move.phase in (phases.TRIAL, phases.RAMP):
@@ -363,23 +377,23 @@
         )
 
     def _has_evidence(self) -> bool:
-        """Tell whether each route with real traffic had enough requests.
+        """Tell whether each route had enough requests at this step.
 
-        A route with under 2% of the requests doesn't delay the move; the
-        watch at full traffic still covers it.
+        A low-traffic route, with under 2% of the requests, doesn't delay the
+        move; the watch at full traffic still covers it.
         """
-        seen = self.comparison.new_request_counts()
-        old = self.comparison.old_request_counts()
-        total = sum(seen.values()) + sum(old.values())
+        new_counts = self.comparison.new_request_counts()
+        old_counts = self.comparison.old_request_counts()
+        total = sum(new_counts.values()) + sum(old_counts.values())
         if not total:
             return False
-        for route, count in seen.items():
-            if count + old.get(route, 0) < LOW_TRAFFIC_SHARE * total:
+        for route, count in new_counts.items():
+            if count + old_counts.get(route, 0) < LOW_TRAFFIC_SHARE * total:
                 continue
-            gained = count - self.requests_at_step_start.get(route, 0)
-            if gained < self.parameters.requests_per_step:
+            new_at_step = count - self.requests_at_step_start.get(route, 0)
+            if new_at_step < self.parameters.requests_per_step:
                 return False
-        return bool(seen)
+        return bool(new_counts)
 
     def _decide_watch(
         self,
@@ -402,12 +416,12 @@
         rollback_reason = self.pacing.rollback_reason(move, status)
         if rollback_reason:
             return End(messages.Outcome.TAKEN_BACK, rollback_reason)
-        if self.pacing.is_good(move, status):
+        if self.pacing.is_accepted(move, status):
             return End(messages.Outcome.DONE, "whole and watched")
         return None
 
     def _needs_comparison(self, suspicion: comparisons.Suspicion) -> bool:
-        """Tell whether a suspicion leads to a comparison or a rollback.
+        """Tell whether a suspicion needs a comparison before a rollback.
 
         At full traffic each failure hits a request, so a move of seconds is
         taken back for failures without a comparison. Latency often grows for
--- a/libs/moves/src/trefoil_moves/evidence.py
+++ b/libs/moves/src/trefoil_moves/evidence.py
@@ -54,7 +54,7 @@
         for bucket, count in other.latencies.items():
             self.latencies[bucket] = self.latencies.get(bucket, 0) + count
 
-    def minus(self, other: "Counts") -> "Counts":
+    def increase_since(self, other: "Counts") -> "Counts":
         """Return the increase since other, earlier counts."""
         return Counts(
             self.requests - other.requests,
@@ -73,6 +73,7 @@
         self.latencies = {b: c * factor for b, c in self.latencies.items()}
 
 
+# Counts of one period, by tally key.
 Window = dict[TallyKey, Counts]
 
 
@@ -85,6 +86,7 @@
         incarnation: Incarnation of this process.
         new_version: The version that traffic moves to.
 
+    ``halted`` is set once the proxy has stopped sending to the new version.
     ``has_all_traffic`` is set while the new version has all the traffic.
     Reports are more frequent then, since each tenth of a second saved is a
     tenth of a second of traffic that a bad version doesn't get.
@@ -101,7 +103,7 @@
         "window",
         "reported_ms",
         "full_report_ms",
-        "urgent",
+        "is_urgent",
         "has_all_traffic",
         "halted",
     )
@@ -119,7 +121,7 @@
         self.window: Window = {}
         self.reported_ms = -REPORT_INTERVAL_MS
         self.full_report_ms = 0
-        self.urgent = False
+        self.is_urgent = False
         self.has_all_traffic = False
         self.halted = False
 
@@ -131,7 +133,7 @@
             counts.setdefault(key, Counts()).add(latency_us, failed, cold)
         self.changed.add(key)
         if failed and key.version == self.new_version:
-            self.urgent = True
+            self.is_urgent = True
 
     def take_window(self) -> Window:
         """Return the counts since the last call and reset them."""
@@ -151,13 +153,13 @@
                 proxy that halted the version reports at once.
         """
         interval_ms = report_interval_ms(hosts)
-        if self.urgent or self.has_all_traffic:
+        if self.is_urgent or self.has_all_traffic:
             interval_ms = urgent_interval_ms(hosts)
         due = now_ms >= self.reported_ms + interval_ms or self.halted
         if not self.changed or not due:
             return None
         self.reported_ms = now_ms
-        self.urgent = False
+        self.is_urgent = False
         if (
             self.has_all_traffic
             and now_ms >= self.full_report_ms + 2 * interval_ms
@@ -231,7 +233,7 @@
             tally.requests, tally.failures, dict(tally.latencies or {})
         )
         known.counts[key] = new
-        self.window.setdefault(key, Counts()).merge(new.minus(old))
+        self.window.setdefault(key, Counts()).merge(new.increase_since(old))
 
     def take_window(self) -> Window:
         """Return the counts reported since the last call and reset them."""
--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -14,19 +14,29 @@
 from . import evidence as evidences
 from . import sequential
 
+# Factor applied to the recent counts in each window of the usual length.
 DECAY_PER_WINDOW = 0.95
+# Quantile of the old version's latency from which requests count as slow.
 SLOW_QUANTILE = 0.9
+# Quantile that a latency verdict compares.
 TAIL_QUANTILE = 0.95
+# Least increase of a tail quantile that matters, in latency buckets.
 TAIL_BUCKETS = 3
+# Distance of the slow bucket above the quantile, in latency buckets.
 SLOW_BUCKETS = 1
+# Least number of latencies for a quantile.
 MIN_LATENCIES = 40
+# Added to the measured failure rate of the old version.
 BASELINE_TOLERANCE = 0.003
+# Increase above the baseline that the watch is tuned to detect.
 BASELINE_ALARM_MARGIN = 0.016
+# Logarithm of the evidence that raises a suspicion during the watch.
 BASELINE_EVIDENCE = 5.0
 # Least increase of the failure rate that counts as a fault.
 CLEARANCE_FAULT_MARGIN = 0.1
 # At most one bad version in a hundred is cleared by chance.
 CLEARANCE_EVIDENCE = math.log(100)
+# Key of the comparison over all routes.
 ALL_ROUTES = "*"
 FAILURES = "failures"
 LATENCY = "latency"
--- a/libs/moves/src/trefoil_moves/knobs.py
+++ b/libs/moves/src/trefoil_moves/knobs.py
@@ -14,8 +14,8 @@
 SHORT_GROWTH = 4.0
 SHORT_REQUESTS = 20
 # Three steps and the wait for the first targets fit into the move. Most of it
-# is spent at the share at risk, where a second costs little exposure; what
-# larger shares use up is missing if a fault occurs only at full traffic.
+# is spent at the share at risk, where a second costs little exposure. Exposure
+# spent at larger shares is missing if a fault occurs only at full traffic.
 SHORT_TRIAL_SHARE = 0.19
 SHORT_STEP_SHARE = 0.04
 SHORT_PACE = 0.15
@@ -88,9 +88,9 @@
         """Return the parameters of a profile.
 
         Args:
-            profile: ``in-time`` if good versions should be done by the
-                deadline first of all, ``cautious`` if bad versions should be
-                taken back first of all, ``balanced`` otherwise.
+            profile: ``in-time`` favors finishing good versions by the
+                deadline, ``cautious`` favors taking bad versions back; any
+                other value selects ``balanced``.
         """
         if profile == "in-time":
             return cls(false_alarms=0.002)
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -20,6 +20,9 @@
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Part of the remaining time that is reserved for a change of leader.
 RAMP_RESERVE = 0.25
+# Evidence against the version extends the longest step by this factor. With
+# bounded exposure it ends the move if the time left is less than that of the
+# later steps, divided by this factor.
 EARLY_WARNING_FACTOR = 2
 # Time until a new leader is elected and has received every proxy's report.
 LEADER_CHANGE_MS = 2000
@@ -70,7 +73,9 @@
     def next_share(self, move: messages.MoveRecord, status: MoveStatus) -> int:
         """Return the permille that is due now, the current one if none."""
 
-    def is_good(self, move: messages.MoveRecord, status: MoveStatus) -> bool:
+    def is_accepted(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> bool:
         """Tell whether the watch at full traffic may end in success."""
 
     def rollback_reason(
@@ -112,7 +117,9 @@
             return self.larger_share(move)
         return move.permille
 
-    def is_good(self, move: messages.MoveRecord, status: MoveStatus) -> bool:
+    def is_accepted(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> bool:
         """Tell whether the watch has lasted as long as requested."""
         return status.at_step_ms >= move.watch_ms
 
@@ -197,7 +204,9 @@
             return self._shares_above(move)[0]
         return self._share_below_risk(move, status)
 
-    def is_good(self, move: messages.MoveRecord, status: MoveStatus) -> bool:
+    def is_accepted(
+        self, move: messages.MoveRecord, status: MoveStatus
+    ) -> bool:
         """Tell whether requests at full traffic have cleared the version.
 
         A watch of fixed length accepts bad versions before their first
--- a/libs/moves/src/trefoil_moves/sequential.py
+++ b/libs/moves/src/trefoil_moves/sequential.py
@@ -16,6 +16,7 @@
 
 import math
 
+# Odds ratios of the alternative hypotheses.
 ODDS = (2.0, 4.0, 12.0, 50.0)
 
 
--- a/libs/moves/src/trefoil_moves/state.py
+++ b/libs/moves/src/trefoil_moves/state.py
@@ -16,6 +16,7 @@
 from . import phases
 from . import rulings
 
+# How long outcomes of past commands are kept.
 RETENTION_MS = 24 * 3600 * 1000
 MAX_PAST_COMMANDS = 8192
 MAX_FINISHED_MOVES = 256
@@ -79,7 +80,9 @@
         """Return every move without an outcome."""
         return [move for move in self.moves.values() if not move.outcome]
 
-    def answer(self, command: messages.Command) -> messages.PastCommand | None:
+    def recorded_outcome(
+        self, command: messages.Command
+    ) -> messages.PastCommand | None:
         """Return the recorded outcome of a command, None if not recorded.
 
         Commands of two operators with the same id differ in their digests.
@@ -136,7 +139,7 @@
             self.clock_ms = max(self.clock_ms, command.stamped_ms)
             self._run(index, command)
             return None
-        recorded = self.answer(command)
+        recorded = self.recorded_outcome(command)
         if recorded is not None:
             return recorded
         self.clock_ms = max(self.clock_ms, command.stamped_ms)
--- a/libs/moves/tests/test_conductor.py
+++ b/libs/moves/tests/test_conductor.py
@@ -9,13 +9,13 @@
 from trefoil_wire import messages
 
 DEADLINE_MS = 100_000
-FULL = conductors.Capacity(48, 48, 4, [])
-NONE_READY = conductors.Capacity(48, 0, 0, [])
-FEW = conductors.Capacity(48, 12, 1, [])
-LACKING = conductors.Capacity(48, 48, 4, ["payments"])
+FULL_CAPACITY = conductors.Capacity(48, 48, 4, [])
+NO_TARGETS = conductors.Capacity(48, 0, 0, [])
+FEW_SLOTS = conductors.Capacity(48, 12, 1, [])
+MISSING_RESOURCE = conductors.Capacity(48, 48, 4, ["payments"])
 
 
-def a_move(
+def make_move(
     phase: str = phases.WAITING, permille: int = 0, watch_ms: int = 5000
 ) -> messages.MoveRecord:
     return messages.MoveRecord(
@@ -38,7 +38,7 @@
 
 def run_move(
     move: messages.MoveRecord,
-    capacity: conductors.Capacity = FULL,
+    capacity: conductors.Capacity = FULL_CAPACITY,
     *,
     start_ms: int = 0,
     until_ms: int = 200_000,
@@ -103,7 +103,7 @@
 
 
 def test_a_good_version_has_all_traffic_by_the_deadline() -> None:
-    decisions = run_move(a_move(), rate=500)
+    decisions = run_move(make_move(), rate=500)
     full_ms = next(
         at_ms for at_ms, d in decisions if getattr(d, "permille", 0) == 1000
     )
@@ -117,7 +117,7 @@
 
     There is no evidence against the version, so the deadline counts.
     """
-    decisions = run_move(a_move())
+    decisions = run_move(make_move())
     assert final_outcome(decisions)[1] == messages.Outcome.DONE
     assert shares(decisions)[-1] == 1000
 
@@ -127,19 +127,19 @@
     [
         (
             "no targets",
-            NONE_READY,
+            NO_TARGETS,
             messages.Outcome.NOT_RUN,
             "no target of the new version",
         ),
         (
             "no resource",
-            LACKING,
+            MISSING_RESOURCE,
             messages.Outcome.NOT_RUN,
             "lack resources: payments",
         ),
         (
             "few slots",
-            FEW,
+            FEW_SLOTS,
             messages.Outcome.TAKEN_BACK,
             "12 slots, the old version 48",
         ),
@@ -148,20 +148,20 @@
 def test_missing_capacity_ends_a_move_at_the_deadline(
     case: str, capacity: conductors.Capacity, outcome: int, reason: str
 ) -> None:
-    decisions = run_move(a_move(), capacity, rate=500)
+    decisions = run_move(make_move(), capacity, rate=500)
     assert final_outcome(decisions) == (DEADLINE_MS, outcome)
     assert reason in decisions[-1][1].reason
     assert all(share <= 225 for share in shares(decisions))
 
 
 def test_a_move_is_taken_back_when_its_targets_disappear() -> None:
-    move = a_move(phases.RAMP, 300)
-    decisions = run_move(move, NONE_READY, rate=500)
+    move = make_move(phases.RAMP, 300)
+    decisions = run_move(move, NO_TARGETS, rate=500)
     assert final_outcome(decisions) == (0, messages.Outcome.TAKEN_BACK)
 
 
 def test_a_bad_version_keeps_its_small_share_until_it_is_taken_back() -> None:
-    decisions = run_move(a_move(), rate=500, bad_from_ms=0)
+    decisions = run_move(make_move(), rate=500, bad_from_ms=0)
     at_ms, outcome = final_outcome(decisions)
     assert outcome == messages.Outcome.TAKEN_BACK
     assert at_ms <= 15_000
@@ -174,7 +174,9 @@
     The old version has no traffic to compare with. It gets a part back until
     a fault of both versions can be distinguished from one of the new version.
     """
-    decisions = run_move(a_move(watch_ms=60_000), rate=500, bad_from_ms=70_000)
+    decisions = run_move(
+        make_move(watch_ms=60_000), rate=500, bad_from_ms=70_000
+    )
     compared_ms = next(
         at_ms
         for at_ms, d in decisions
@@ -187,18 +189,18 @@
 
 
 def test_a_new_leader_continues_from_the_committed_step() -> None:
-    move = a_move(phases.RAMP, 300)
+    move = make_move(phases.RAMP, 300)
     decisions = run_move(move, rate=500, start_ms=50_000)
     assert shares(decisions)[0] > 300
     assert final_outcome(decisions)[1] == messages.Outcome.DONE
 
 
 def test_a_proxys_halt_takes_the_move_back() -> None:
-    move = a_move(phases.RAMP, 300)
+    move = make_move(phases.RAMP, 300)
     conductor = conductors.Conductor(move, move_parameters.MoveParameters(), 0)
     halt = messages.EvidenceReport("m", "h7", 1, 1, [], True)
     conductor.hear(halt, 0)
-    decision = conductor.decide(move, FULL, now_ms=0, wall_ms=0)
+    decision = conductor.decide(move, FULL_CAPACITY, now_ms=0, wall_ms=0)
     assert decision.outcome == messages.Outcome.TAKEN_BACK
     assert "h7" in decision.reason
 
--- a/libs/moves/tests/test_evidence.py
+++ b/libs/moves/tests/test_evidence.py
@@ -8,7 +8,7 @@
 NEW = evidence.TallyKey("r", "v2", "d")
 
 
-def a_collector() -> evidence.Collector:
+def make_collector() -> evidence.Collector:
     """Return a collector that reported both versions at 0 ms."""
     collector = evidence.Collector("m", "h", 1, new_version="v2")
     collector.observe(OLD, 1000, False, False)
@@ -31,7 +31,7 @@
     failed: bool, has_all_traffic: bool, due_ms: int
 ) -> None:
     """Otherwise a bad version keeps its traffic until the usual report."""
-    collector = a_collector()
+    collector = make_collector()
     collector.has_all_traffic = has_all_traffic
     collector.observe(NEW, 1000, failed, False)
     assert collector.report(due_ms - 1) is None
@@ -39,7 +39,7 @@
 
 
 def test_a_failure_of_the_old_version_is_not_urgent() -> None:
-    collector = a_collector()
+    collector = make_collector()
     collector.observe(OLD, 1000, True, False)
     assert collector.report(249) is None
 
@@ -50,7 +50,7 @@
     The old version has no traffic during the watch, so its counts no longer
     change, and reports of changed tallies alone would never include them.
     """
-    collector = a_collector()
+    collector = make_collector()
     collector.observe(NEW, 1000, False, False)
     assert versions_in(collector, 300) == ["v2"]
     collector.has_all_traffic = True
--- a/libs/moves/tests/test_judge.py
+++ b/libs/moves/tests/test_judge.py
@@ -10,7 +10,7 @@
 from trefoil_wire import messages
 
 
-def window(
+def make_window(
     old: tuple[int, int],
     new: tuple[int, int],
     *,
@@ -61,10 +61,10 @@
 @pytest.mark.parametrize(
     ("case", "window_counts", "at_most"),
     [
-        ("fails half at 2%", window((98, 0), (2, 1)), 6),
-        ("fails 2% at half", window((100, 0), (100, 2)), 20),
-        ("twice as slow", window((95, 0), (5, 0), new_us=25_000), 8),
-        ("fails all from the start", window((98, 0), (2, 2)), 3),
+        ("fails half at 2%", make_window((98, 0), (2, 1)), 6),
+        ("fails 2% at half", make_window((100, 0), (100, 2)), 20),
+        ("twice as slow", make_window((95, 0), (5, 0), new_us=25_000), 8),
+        ("fails all from the start", make_window((98, 0), (2, 2)), 3),
     ],
 )
 def test_bad_versions_get_a_verdict(
@@ -76,11 +76,11 @@
 @pytest.mark.parametrize(
     ("case", "window_counts"),
     [
-        ("both fail equally", window((90, 27), (10, 3))),
-        ("all fail", window((90, 90), (10, 10))),
-        ("the old one is worse", window((90, 20), (10, 0))),
-        ("slightly slower", window((90, 0), (10, 0), new_us=10_600)),
-        ("only the new one has traffic", window((0, 0), (50, 25))),
+        ("both fail equally", make_window((90, 27), (10, 3))),
+        ("all fail", make_window((90, 90), (10, 10))),
+        ("the old one is worse", make_window((90, 20), (10, 0))),
+        ("slightly slower", make_window((90, 0), (10, 0), new_us=10_600)),
+        ("only the new one has traffic", make_window((0, 0), (50, 25))),
     ],
 )
 def test_good_versions_get_no_verdict(
@@ -94,8 +94,8 @@
 
     Earlier evidence in its favor must not outweigh the new failures.
     """
-    good = window((95, 0), (20, 0))
-    bad = window((95, 0), (20, 4))
+    good = make_window((95, 0), (20, 0))
+    bad = make_window((95, 0), (20, 4))
     assert seconds_to_verdict(*([good] * 60 + [bad]), limit=70) <= 64
 
 
@@ -104,8 +104,8 @@
 
     Compared across domains, the new version would seem to be at fault.
     """
-    window_counts = window((100, 0), (0, 0), domain="a")
-    window_counts |= window((0, 0), (20, 10), domain="b")
+    window_counts = make_window((100, 0), (0, 0), domain="a")
+    window_counts |= make_window((0, 0), (20, 10), domain="b")
     assert seconds_to_verdict(window_counts) == -1
 
 
@@ -148,7 +148,7 @@
     assert evidence == pytest.approx(0.0, abs=1e-9)
 
 
-def report(
+def make_report(
     sequence: int, requests: int, failures: int, incarnation: int = 1
 ) -> messages.EvidenceReport:
     tally = messages.Tally("r", "v2", "d", requests, failures, {10: requests})
@@ -171,15 +171,15 @@
 ) -> None:
     merger = evidences.Merger()
     for sequence, count in reports:
-        merger.add_report(report(sequence, count, 0), 0)
+        merger.add_report(make_report(sequence, count, 0), 0)
     (counts,) = merger.take_window().values()
     assert counts.requests == requests
 
 
 def test_a_restarted_proxy_counts_from_zero() -> None:
     merger = evidences.Merger()
-    merger.add_report(report(9, 50, 0), 0)
-    merger.add_report(report(1, 4, 0, incarnation=2), 0)
-    merger.add_report(report(10, 60, 0), 0)
+    merger.add_report(make_report(9, 50, 0), 0)
+    merger.add_report(make_report(1, 4, 0, incarnation=2), 0)
+    merger.add_report(make_report(10, 60, 0), 0)
     (counts,) = merger.take_window().values()
     assert counts.requests == 54
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -13,17 +13,17 @@
 SPAN_MS = 15_000
 WATCH_MS = 500
 PARAMETERS = move_parameters.MoveParameters().for_span(SPAN_MS)
-RISK = 80
+RISK_PERMILLE = 80
 
 
-def a_move(permille: int, phase: str = phases.RAMP) -> messages.MoveRecord:
+def make_move(permille: int, phase: str = phases.RAMP) -> messages.MoveRecord:
     return messages.MoveRecord(
         "m",
         "s",
         "v1",
         "v2",
         SPAN_MS,
-        RISK,
+        RISK_PERMILLE,
         WATCH_MS,
         0,
         permille,
@@ -35,7 +35,7 @@
     )
 
 
-def bounded(
+def make_pacing(
     new_requests: float = 0.0, all_requests: float = 0.0
 ) -> pacing.BoundedPacing:
     exposure = exposures.Exposure(
@@ -63,20 +63,21 @@
 
 
 @pytest.mark.parametrize(
-    ("left_ms", "share"), [(10_000, RISK), (3101, RISK), (3000, 320)]
+    ("left_ms", "share"),
+    [(10_000, RISK_PERMILLE), (3101, RISK_PERMILLE), (3000, 320)],
 )
 def test_a_step_beyond_the_share_at_risk_waits_until_it_is_due(
     left_ms: int, share: int
 ) -> None:
     """Five seconds of good evidence don't rule out a fault in the sixth."""
-    move = a_move(RISK)
-    assert bounded().next_share(move, status(left_ms=left_ms)) == share
+    move = make_move(RISK_PERMILLE)
+    assert make_pacing().next_share(move, status(left_ms=left_ms)) == share
 
 
 def test_the_steps_to_full_traffic_leave_time_for_a_new_leader() -> None:
-    move = a_move(320)
+    move = make_move(320)
     left_ms = pacing.LEADER_CHANGE_MS + WATCH_MS
-    assert bounded().next_share(move, status(left_ms=left_ms)) == 1000
+    assert make_pacing().next_share(move, status(left_ms=left_ms)) == 1000
 
 
 @pytest.mark.parametrize("left_ms", [3000, 1500])
@@ -85,28 +86,30 @@
 ) -> None:
     """With half of the evidence for a verdict, more traffic adds harm."""
     early_warning = status(left_ms=left_ms, leans_against=True)
-    move = a_move(RISK)
-    assert bounded().next_share(move, early_warning) == RISK
-    assert bool(bounded().rollback_reason(move, early_warning)) is (
+    move = make_move(RISK_PERMILLE)
+    assert make_pacing().next_share(move, early_warning) == RISK_PERMILLE
+    assert bool(make_pacing().rollback_reason(move, early_warning)) is (
         left_ms == 1500
     )
 
 
 @pytest.mark.parametrize(
     ("new_requests", "all_requests", "share"),
-    [(0, 0, 30), (0, 100, RISK), (100, 4500, 30)],
+    [(0, 0, 30), (0, 100, RISK_PERMILLE), (100, 4500, 30)],
 )
 def test_a_move_waits_at_a_share_within_its_budget(
     new_requests: int, all_requests: int, share: int
 ) -> None:
     """Budget spent on waiting is missing if full traffic reveals a fault."""
-    move = a_move(30, phases.TRIAL)
-    share_due = bounded(new_requests, all_requests).next_share(move, status())
+    move = make_move(30, phases.TRIAL)
+    share_due = make_pacing(new_requests, all_requests).next_share(
+        move, status()
+    )
     assert share_due == share
 
 
 @pytest.mark.parametrize(
-    ("left_ms", "is_clear", "is_good"),
+    ("left_ms", "is_clear", "is_accepted"),
     [
         (1500, True, False),
         (1100, True, True),
@@ -115,12 +118,14 @@
     ],
 )
 def test_a_watch_without_clearance_continues(
-    left_ms: int, is_clear: bool, is_good: bool
+    left_ms: int, is_clear: bool, is_accepted: bool
 ) -> None:
     """A watch that ends by time alone would accept a bad version."""
-    move = a_move(1000, phases.WATCH)
-    seen = status(at_step_ms=2000, left_ms=left_ms, is_clear=is_clear)
-    assert bounded(500, 1500).is_good(move, seen) is is_good
+    move = make_move(1000, phases.WATCH)
+    watch_status = status(at_step_ms=2000, left_ms=left_ms, is_clear=is_clear)
+    assert (
+        make_pacing(500, 1500).is_accepted(move, watch_status) is is_accepted
+    )
 
 
 @pytest.mark.parametrize(
@@ -139,12 +144,16 @@
 
     Without this rule the version would keep its traffic.
     """
-    move = a_move(1000, phases.WATCH)
-    seen = status(at_step_ms=at_step_ms, left_ms=left_ms, is_unfavorable=True)
+    move = make_move(1000, phases.WATCH)
+    watch_status = status(
+        at_step_ms=at_step_ms, left_ms=left_ms, is_unfavorable=True
+    )
     assert (
-        bool(bounded(new_requests, 1500).rollback_reason(move, seen))
+        bool(
+            make_pacing(new_requests, 1500).rollback_reason(move, watch_status)
+        )
         is is_taken_back
     )
-    assert not bounded(new_requests, 1500).is_good(move, seen)
-    favorable = dataclasses.replace(seen, is_unfavorable=False)
-    assert not bounded(new_requests, 1500).rollback_reason(move, favorable)
+    assert not make_pacing(new_requests, 1500).is_accepted(move, watch_status)
+    favorable = dataclasses.replace(watch_status, is_unfavorable=False)
+    assert not make_pacing(new_requests, 1500).rollback_reason(move, favorable)
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -18,8 +18,8 @@
 # Latencies of cold targets are not counted, so no step has enough evidence.
 COLD = -1
 EXPOSURE_SHARE = 0.1
-EXPOSURE_SLACK = 50
-FULL = conductors.Capacity(48, 48, 4, [])
+EXTRA_REQUESTS = 50
+FULL_CAPACITY = conductors.Capacity(48, 48, 4, [])
 
 
 @dataclasses.dataclass(slots=True)
@@ -57,12 +57,12 @@
     Args:
         outcome: A value of ``messages.Outcome``.
         ended_ms: When the move ended.
-        exposed: Requests that the new version got.
+        exposed_requests: Requests that the new version got.
     """
 
     outcome: int
     ended_ms: int
-    exposed: float
+    exposed_requests: float
 
 
 def simulate_move(
@@ -102,7 +102,7 @@
         [],
     )
     parameters = move_parameters.MoveParameters(
-        exposed_part=EXPOSURE_SHARE, exposed_requests=EXPOSURE_SLACK
+        exposed_part=EXPOSURE_SHARE, exposed_requests=EXTRA_REQUESTS
     )
     conductor = conductors.Conductor(move, parameters, 0)
     counts = {"v1": Tallies(), "v2": Tallies()}
@@ -120,10 +120,12 @@
                 messages.EvidenceReport("m", "h", 1, now_ms + 1, tallies),
                 now_ms,
             )
-        decision = conductor.decide(move, FULL, now_ms=now_ms, wall_ms=now_ms)
+        decision = conductor.decide(
+            move, FULL_CAPACITY, now_ms=now_ms, wall_ms=now_ms
+        )
         if isinstance(decision, conductors.End):
-            exposed = counts["v2"].requests
-            return MoveResult(decision.outcome, now_ms, exposed)
+            exposed_requests = counts["v2"].requests
+            return MoveResult(decision.outcome, now_ms, exposed_requests)
         if decision is not None:
             move.permille = decision.permille
             move.phase = decision.phase
@@ -132,15 +134,15 @@
     raise AssertionError("the move did not end")
 
 
-RATES = [20, 130, 300, 600]
-TAKEN_BACK_MS = 600
+REQUEST_RATES = [20, 130, 300, 600]
+ROLLBACK_MS = 600
 # Changes of leader during the last steps.
-LAST_CHANGES_MS = [12_000, 12_500, 13_000, 13_200, 13_400, 13_600]
+LEADER_CHANGES_MS = [12_000, 12_500, 13_000, 13_200, 13_400, 13_600]
 
 
-def allowed(rate: int = RATE) -> float:
+def allowed_requests(rate: int = RATE) -> float:
     """Return how many requests a bad version may get."""
-    return rate * SPAN_MS / 1000 * EXPOSURE_SHARE + EXPOSURE_SLACK
+    return rate * SPAN_MS / 1000 * EXPOSURE_SHARE + EXTRA_REQUESTS
 
 
 def test_a_good_version_is_done_in_time() -> None:
@@ -153,14 +155,14 @@
     result = simulate_move(fails=lambda now_ms: 0.34)
     assert result.outcome == messages.Outcome.TAKEN_BACK
     assert result.ended_ms <= 5000
-    assert result.exposed <= allowed()
+    assert result.exposed_requests <= allowed_requests()
 
 
 def test_a_version_that_fails_later_is_taken_back() -> None:
     """The version works for three seconds, as with a resource leak."""
     result = simulate_move(fails=lambda now_ms: 0.5 * (now_ms >= 3000))
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed <= allowed()
+    assert result.exposed_requests <= allowed_requests()
 
 
 def test_a_version_that_fails_under_load_is_taken_back() -> None:
@@ -171,7 +173,10 @@
     """
     result = simulate_move(failures_under_load=0.15)
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed + 0.6 * RATE <= allowed() - EXPOSURE_SLACK
+    assert (
+        result.exposed_requests + 0.6 * RATE
+        <= allowed_requests() - EXTRA_REQUESTS
+    )
 
 
 def test_a_version_that_is_slow_is_taken_back() -> None:
@@ -179,7 +184,7 @@
         bucket=lambda v, t: SLOW_BUCKET if v == "v2" else USUAL_BUCKET
     )
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed <= allowed()
+    assert result.exposed_requests <= allowed_requests()
 
 
 def test_slowness_of_both_versions_does_not_end_the_move() -> None:
@@ -243,7 +248,7 @@
         rate=rate,
     )
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed + 0.6 * rate <= allowed(rate)
+    assert result.exposed_requests + 0.6 * rate <= allowed_requests(rate)
 
 
 @pytest.mark.parametrize("new_leader_ms", [1500, 3500, 4500])
@@ -257,7 +262,7 @@
         new_leader_ms=new_leader_ms,
     )
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed + 0.6 * RATE <= allowed()
+    assert result.exposed_requests + 0.6 * RATE <= allowed_requests()
 
 
 @pytest.mark.parametrize("rate", [150, 300, 600])
@@ -269,7 +274,7 @@
     assert result.ended_ms <= SPAN_MS - 1000
 
 
-@pytest.mark.parametrize("rate", RATES)
+@pytest.mark.parametrize("rate", REQUEST_RATES)
 @pytest.mark.parametrize("fault_ms", [3000, 5000, 7000, 9000, 11_000])
 def test_a_version_that_fails_late_is_not_accepted(
     fault_ms: int, rate: int
@@ -279,11 +284,14 @@
         fails=lambda now_ms: 0.4 * (now_ms >= fault_ms), rate=rate
     )
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed + TAKEN_BACK_MS / 1000 * rate <= allowed(rate)
+    assert (
+        result.exposed_requests + ROLLBACK_MS / 1000 * rate
+        <= allowed_requests(rate)
+    )
 
 
-@pytest.mark.parametrize("new_leader_ms", LAST_CHANGES_MS)
-@pytest.mark.parametrize("rate", RATES)
+@pytest.mark.parametrize("new_leader_ms", LEADER_CHANGES_MS)
+@pytest.mark.parametrize("rate", REQUEST_RATES)
 def test_a_new_leader_does_not_end_a_watch_without_evidence(
     rate: int, new_leader_ms: int
 ) -> None:
@@ -292,11 +300,14 @@
         failures_under_load=0.4, rate=rate, new_leader_ms=new_leader_ms
     )
     assert result.outcome == messages.Outcome.TAKEN_BACK
-    assert result.exposed + TAKEN_BACK_MS / 1000 * rate <= allowed(rate)
+    assert (
+        result.exposed_requests + ROLLBACK_MS / 1000 * rate
+        <= allowed_requests(rate)
+    )
 
 
-@pytest.mark.parametrize("new_leader_ms", [-1, 3000, 8000, *LAST_CHANGES_MS])
-@pytest.mark.parametrize("rate", RATES)
+@pytest.mark.parametrize("new_leader_ms", [-1, 3000, 8000, *LEADER_CHANGES_MS])
+@pytest.mark.parametrize("rate", REQUEST_RATES)
 def test_a_good_version_is_done_in_time_whoever_leads(
     rate: int, new_leader_ms: int
 ) -> None:
--- a/libs/moves/tests/test_state.py
+++ b/libs/moves/tests/test_state.py
@@ -59,7 +59,7 @@
     return messages.StartMove("tables", start, to, NOW_MS + 60_000, 50, 1000)
 
 
-def applied() -> states.State:
+def configured_state() -> states.State:
     state = states.State()
     state.apply(1, command(configuration()))
     return state
@@ -75,22 +75,22 @@
 
     It was committed already; if it ran twice, a second move would start.
     """
-    state = applied()
+    state = configured_state()
     first = state.apply(2, command(move(), "m"))
-    again = state.apply(3, command(move(), "m"))
-    assert again == first
+    resent = state.apply(3, command(move(), "m"))
+    assert resent == first
     assert len(state.moves) == 1
 
 
 def test_a_command_id_belongs_to_its_first_command() -> None:
     """Two operators use the same id for different commands."""
-    state = applied()
+    state = configured_state()
     first = state.apply(2, command(move("v2"), "7", "ann"))
     second = state.apply(3, command(move("v3"), "7", "ben"))
     assert first.outcome == Outcome.DONE
     assert second.outcome == Outcome.NOT_RUN
     assert [m.to_version for m in state.moves.values()] == ["v2"]
-    assert state.answer(command(move("v2"), "7", "ann")) == first
+    assert state.recorded_outcome(command(move("v2"), "7", "ann")) == first
 
 
 def test_a_cancelled_command_never_runs() -> None:
@@ -98,15 +98,15 @@
 
     The cancellation was confirmed, so the command must not run any more.
     """
-    state = applied()
+    state = configured_state()
     state.apply(2, command(messages.CancelCommand("late"), "c"))
-    late = state.apply(3, command(move(), "late"))
-    assert late.outcome == Outcome.NOT_RUN
+    late_result = state.apply(3, command(move(), "late"))
+    assert late_result.outcome == Outcome.NOT_RUN
     assert not state.moves
 
 
 def test_a_cancel_of_a_completed_command_is_refused() -> None:
-    state = applied()
+    state = configured_state()
     state.apply(2, command(move(), "m"))
     cancel = state.apply(3, command(messages.CancelCommand("m"), "c"))
     assert cancel.outcome == Outcome.NOT_RUN
@@ -127,7 +127,7 @@
 def test_a_refused_command_changes_nothing(
     case: str, body: object, reason: str
 ) -> None:
-    state = applied()
+    state = configured_state()
     before = state.items.digest
     if body is None:
         body = configuration()
@@ -139,7 +139,7 @@
 
 
 def test_two_moves_on_a_service_never_run_at_once() -> None:
-    state = applied()
+    state = configured_state()
     state.apply(2, command(move("v2"), "a"))
     second = state.apply(3, command(move("v3"), "b"))
     assert second.outcome == Outcome.NOT_RUN
@@ -147,7 +147,7 @@
 
 
 def test_a_service_with_a_move_cannot_be_removed() -> None:
-    state = applied()
+    state = configured_state()
     state.apply(2, command(move(), "a"))
     empty = messages.ApplyConfiguration([], [], 0)
     past = state.apply(3, command(empty, "b"))
@@ -160,7 +160,7 @@
 
     The revision must increase, since proxies ignore older revisions.
     """
-    state = applied()
+    state = configured_state()
     state.apply(2, command(move(), "a"))
     step = messages.StepMove("a", 50, phases.TRIAL, "ready")
     state.apply(3, command(step, ""))
@@ -176,7 +176,7 @@
 
     It may have run, so it must not run now, and "not run" might be wrong.
     """
-    state = applied()
+    state = configured_state()
     later_ms = NOW_MS + 2 * states.RETENTION_MS
     state.apply(2, command(move(), "m", stamped_ms=NOW_MS))
     state.apply(
@@ -194,25 +194,25 @@
     assert "no longer kept" in refusal.reason
 
 
-class Agreed(stateful.RuleBasedStateMachine):
+class CommandMachine(stateful.RuleBasedStateMachine):
     """Commands in any order, resent or with equal ids, and snapshots."""
 
     command_ids = st.sampled_from(["1", "2", "3", "4", "5", "6"])
 
     @stateful.initialize()
     def begin(self) -> None:
-        self.state = applied()
+        self.state = configured_state()
         self.index = 1
         self.outcomes: dict[tuple[str, int], int] = {}
         self.revision = self.state.items.revision
 
     def _apply(self, body: object, command_id: str, operator: str) -> None:
         self.index += 1
-        made = command(body, command_id, operator)
-        past = self.state.apply(self.index, made)
+        sent = command(body, command_id, operator)
+        past = self.state.apply(self.index, sent)
         if past is None:
             return
-        key = (command_id, states.command_digest(made))
+        key = (command_id, states.command_digest(sent))
         assert self.outcomes.setdefault(key, past.outcome) == past.outcome
 
     @stateful.rule(
@@ -221,23 +221,23 @@
         to=st.sampled_from(["v1", "v2", "v3"]),
         start=st.sampled_from(["v1", "v2"]),
     )
-    def a_move(
+    def start_move(
         self, command_id: str, operator: str, to: str, start: str
     ) -> None:
         self._apply(move(to, start), command_id, operator)
 
     @stateful.rule(command_id=command_ids)
-    def a_reversal(self, command_id: str) -> None:
+    def reverse_move(self, command_id: str) -> None:
         self._apply(messages.ReverseMove("tables"), command_id, "ann")
 
     @stateful.rule(command_id=command_ids, cancelled=command_ids)
-    def a_cancel(self, command_id: str, cancelled: str) -> None:
+    def cancel_command(self, command_id: str, cancelled: str) -> None:
         self._apply(messages.CancelCommand(cancelled), command_id, "ann")
 
     @stateful.rule(
         command_id=command_ids, permille=st.sampled_from([20, 500, 1000])
     )
-    def a_step(self, command_id: str, permille: int) -> None:
+    def step_move(self, command_id: str, permille: int) -> None:
         step = messages.StepMove(command_id, permille, phases.RAMP, "")
         self._apply(step, "", "leader")
 
@@ -245,17 +245,17 @@
         command_id=command_ids,
         outcome=st.sampled_from([Outcome.DONE, Outcome.TAKEN_BACK]),
     )
-    def an_end(self, command_id: str, outcome: int) -> None:
+    def end_move(self, command_id: str, outcome: int) -> None:
         self._apply(messages.EndMove(command_id, outcome, ""), "", "leader")
 
     @stateful.rule()
-    def a_snapshot(self) -> None:
-        again = states.State.from_bytes(self.state.to_bytes())
-        assert again.to_bytes() == self.state.to_bytes()
-        self.state = again
+    def restore_snapshot(self) -> None:
+        restored = states.State.from_bytes(self.state.to_bytes())
+        assert restored.to_bytes() == self.state.to_bytes()
+        self.state = restored
 
     @stateful.invariant()
-    def revisions_only_go_up(self) -> None:
+    def revisions_never_decrease(self) -> None:
         if hasattr(self, "state"):
             assert self.state.items.revision >= self.revision
             self.revision = self.state.items.revision
@@ -272,5 +272,7 @@
             assert 1000 in shares_of(self.state).values()
 
 
-TestAgreed = Agreed.TestCase
-TestAgreed.settings = settings(max_examples=100, stateful_step_count=40)
+TestCommandMachine = CommandMachine.TestCase
+TestCommandMachine.settings = settings(
+    max_examples=100, stateful_step_count=40
+)
