--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -38,7 +38,8 @@
         old_slots: Request slots of the old version that are ready.
         new_slots: Request slots of the new version that are ready.
         new_targets: Targets of the new version that are ready.
-        missing: Resources that targets of the new version lack.
+        missing: Resources of the service's routes that no ready target of
+            the new version has.
     """
 
     old_slots: int
--- a/libs/moves/src/trefoil_moves/evidence.py
+++ b/libs/moves/src/trefoil_moves/evidence.py
@@ -81,7 +81,7 @@
     """A proxy's counts for the move of one service.
 
     Args:
-        move_id: The move.
+        move_id: Id of the move.
         host: Name of this host.
         incarnation: Incarnation of this process.
         new_version: The version that traffic moves to.
--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -164,7 +164,7 @@
         for route in routes:
             comparison = self.by_route.setdefault(route, RouteComparison())
             self._add_route(comparison, route, window, decay)
-        self._pool(routes, window, decay)
+        self._add_pooled(routes, window, decay)
         if self.watching:
             self._watch_new_routes()
         if self.clearance is not None:
@@ -176,7 +176,7 @@
         verdicts = [verdict for verdict in candidates if verdict is not None]
         return max(verdicts, key=lambda v: v.evidence, default=None)
 
-    def _pool(
+    def _add_pooled(
         self, routes: list[str], window: evidences.Window, decay: float
     ) -> None:
         """Add all routes' strata to the comparison over all routes.
@@ -211,13 +211,16 @@
     ) -> list[tuple[evidences.Counts, evidences.Counts]]:
         """Return a route's old and new counts, by failure domain."""
         domains = {key.domain for key in window if key.route == route}
-        none = evidences.Counts()
+        no_counts = evidences.Counts()
         pairs = []
         for domain in sorted(domains):
             old_key = evidences.TallyKey(route, self.old_version, domain)
             new_key = evidences.TallyKey(route, self.new_version, domain)
             pairs.append(
-                (window.get(old_key, none), window.get(new_key, none))
+                (
+                    window.get(old_key, no_counts),
+                    window.get(new_key, no_counts),
+                )
             )
         return pairs
 
@@ -302,9 +305,11 @@
     def begin_clearance(self) -> None:
         """Start collecting evidence in the new version's favor."""
         pooled = self.by_route.get(ALL_ROUTES, RouteComparison())
-        base = _base_rate(pooled.old_total)
+        base_rate = _base_rate(pooled.old_total)
         self.clearance = sequential.Clearance(
-            base, min(base + CLEARANCE_FAULT_MARGIN, 0.95), CLEARANCE_EVIDENCE
+            base_rate,
+            min(base_rate + CLEARANCE_FAULT_MARGIN, 0.95),
+            CLEARANCE_EVIDENCE,
         )
 
     @property
@@ -339,9 +344,11 @@
 
     def _watch_route(self, comparison: RouteComparison) -> None:
         comparison.reference = self._reference(comparison)
-        base = _base_rate(comparison.reference)
-        alarm = min(base + BASELINE_ALARM_MARGIN, 0.95)
-        comparison.baseline = sequential.BaselineDetector(base, alarm)
+        base_rate = _base_rate(comparison.reference)
+        alarm_rate = min(base_rate + BASELINE_ALARM_MARGIN, 0.95)
+        comparison.baseline = sequential.BaselineDetector(
+            base_rate, alarm_rate
+        )
 
     def _reference(self, comparison: RouteComparison) -> evidences.Counts:
         """Return the old version's counts that the watch compares with.
@@ -372,11 +379,13 @@
     def _tail_grew(self, comparison: RouteComparison) -> bool:
         if sum(comparison.new.latencies.values()) < MIN_LATENCIES:
             return False
-        tail = latency.quantile_bucket(comparison.new.latencies, SLOW_QUANTILE)
-        base = latency.quantile_bucket(
+        tail_bucket = latency.quantile_bucket(
+            comparison.new.latencies, SLOW_QUANTILE
+        )
+        base_bucket = latency.quantile_bucket(
             comparison.reference.latencies, SLOW_QUANTILE
         )
-        return base >= 0 and tail - base >= TAIL_BUCKETS
+        return base_bucket >= 0 and tail_bucket - base_bucket >= TAIL_BUCKETS
 
     def leans_against(self) -> bool:
         """Tell whether a test has half of the evidence for a verdict."""
--- a/libs/moves/src/trefoil_moves/rulings.py
+++ b/libs/moves/src/trefoil_moves/rulings.py
@@ -126,29 +126,29 @@
 def _put_configuration(
     items: item_store.Items, index: int, body: messages.ApplyConfiguration
 ) -> None:
-    wanted: dict[str, typing.Any] = {}
+    new_records: dict[str, typing.Any] = {}
     for service in body.services:
-        wanted[item_store.SERVICE + service.name] = service
+        new_records[item_store.SERVICE + service.name] = service
         if items.get(item_store.SHARES + service.name) is None:
-            wanted[item_store.SHARES + service.name] = messages.Shares(
+            new_records[item_store.SHARES + service.name] = messages.Shares(
                 service_name=service.name,
                 shares=[messages.VersionShare(service.version, 1000)],
                 move_id="",
             )
     for route in body.routes:
-        wanted[item_store.ROUTE + route.name] = route
+        new_records[item_store.ROUTE + route.name] = route
     if body.limits is not None:
-        wanted[item_store.LIMITS] = body.limits
+        new_records[item_store.LIMITS] = body.limits
     names = {service.name for service in body.services}
     for key, item in list(items.by_key.items()):
         kind, _, name = key.partition("/")
         is_in_document = kind + "/" in item_store.OF_DOCUMENT
         is_orphaned = kind + "/" == item_store.SHARES and name not in names
         if not item.deleted and (
-            is_orphaned or (is_in_document and key not in wanted)
+            is_orphaned or (is_in_document and key not in new_records)
         ):
             items.delete(index, key)
-    for key, record in wanted.items():
+    for key, record in new_records.items():
         if items.get(key) != record:
             items.set(index, key, record)
 
@@ -257,11 +257,11 @@
     if move is None or move.outcome:
         return CommandResult(Outcome.NOT_RUN, "no such move runs")
     if body.permille != move.permille:
-        rest = 1000 - body.permille
+        old_permille = 1000 - body.permille
         state.set_shares(
             index,
             move.service_name,
-            {move.from_version: rest, move.to_version: body.permille},
+            {move.from_version: old_permille, move.to_version: body.permille},
             move.move_id,
         )
     move.permille = body.permille
--- a/libs/moves/src/trefoil_moves/state.py
+++ b/libs/moves/src/trefoil_moves/state.py
@@ -26,7 +26,10 @@
 
 
 def command_digest(command: messages.Command) -> int:
-    """Return a hash of an operator's request, without its time stamps."""
+    """Return a hash of a command, without the time that the leader adds.
+
+    The time of issue is left out too if the id is derived from the content.
+    """
     issued_ms = 0 if command.content_id else command.issued_ms
     head = f"{command.operator_name}\0{issued_ms}\0{command.kind}\0"
     return hashing.hash64(head.encode() + command.body)
@@ -116,8 +119,8 @@
         if not command.command_id or not command.operator_name:
             reason = "a command needs an id and an operator"
             return rulings.CommandResult(Outcome.NOT_RUN, reason)
-        dated = not command.content_id
-        if dated and command.issued_ms < self.clock_ms - RETENTION_MS:
+        can_expire = not command.content_id
+        if can_expire and command.issued_ms < self.clock_ms - RETENTION_MS:
             reason = "issued over a day ago; its outcome is no longer kept"
             return rulings.CommandResult(Outcome.EXPIRED, reason)
         if (
--- a/libs/moves/tests/test_evacuations.py
+++ b/libs/moves/tests/test_evacuations.py
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class CommandInFlight:
     """A command in flight.
 
     Args:
@@ -129,18 +129,18 @@
         self.call = 0
         self.wanted = False
         self.acknowledged = True
-        self.in_flight: list[Sent] = []
+        self.in_flight: list[CommandInFlight] = []
 
     def _send(self, host: int) -> None:
         self.command_count += 1
         command = evacuation(
             f"n{self.command_count}", self.wanted, self.known[host]
         )
-        self.in_flight.append(Sent(self.call, host, command))
+        self.in_flight.append(CommandInFlight(self.call, host, command))
 
     @stateful.precondition(lambda self: self.acknowledged)
     @stateful.rule(wanted=st.booleans())
-    def decide(self, wanted: bool) -> None:
+    def begin_call(self, wanted: bool) -> None:
         """Begin another call."""
         self.call += 1
         self.wanted = wanted
@@ -153,23 +153,23 @@
         self._send(host)
 
     @stateful.rule(host=st.integers(0, HOSTS - 1))
-    def learn(self, host: int) -> None:
+    def catch_up(self, host: int) -> None:
         """Let a host catch up."""
         self.known[host] = self.index
 
     @stateful.precondition(lambda self: self.in_flight)
-    @stateful.rule(at=st.integers(0, 20))
-    def arrive(self, at: int) -> None:
+    @stateful.rule(position=st.integers(0, 20))
+    def commit_command(self, position: int) -> None:
         """Commit any command in flight, however late."""
-        sent = self.in_flight.pop(at % len(self.in_flight))
+        sent = self.in_flight.pop(position % len(self.in_flight))
         self.index += 1
         past = self.state.apply(self.index, sent.command)
-        present = sent.call == self.call and not self.acknowledged
+        is_current = sent.call == self.call and not self.acknowledged
         if past.outcome == Outcome.DONE:
-            self.acknowledged |= present
+            self.acknowledged |= is_current
         else:
             self.known[sent.host] = past.revision
-            if present:
+            if is_current:
                 self._send(sent.host)
 
     @stateful.invariant()
--- a/libs/moves/tests/test_judge.py
+++ b/libs/moves/tests/test_judge.py
@@ -122,7 +122,7 @@
     """
     rng = random.Random(5)
     threshold = comparisons.threshold_for(0.005, 600)
-    condemned = 0
+    rejected = 0
     for _ in range(300):
         detector = sequential.Detector()
         for _ in range(120):
@@ -130,9 +130,9 @@
             new = sum(rng.random() < 0.02 for _ in range(10))
             detector.add(new, 10, old, 40)
             if detector.evidence >= threshold:
-                condemned += 1
+                rejected += 1
                 break
-    assert condemned <= 1
+    assert rejected <= 1
 
 
 @pytest.mark.parametrize(
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -58,7 +58,7 @@
 )
 
 
-def status(**changes: float | bool) -> pacing.MoveStatus:
+def make_status(**changes: float | bool) -> pacing.MoveStatus:
     return dataclasses.replace(STATUS, **changes)
 
 
@@ -71,21 +71,26 @@
 ) -> None:
     """Five seconds of good evidence don't rule out a fault in the sixth."""
     move = make_move(RISK_PERMILLE)
-    assert make_pacing().next_share(move, status(left_ms=left_ms)) == share
+    assert (
+        make_pacing().next_share(move, make_status(left_ms=left_ms)) == share
+    )
 
 
 def test_the_steps_to_full_traffic_leave_time_for_a_new_leader() -> None:
     move = make_move(320)
     left_ms = pacing.LEADER_CHANGE_MS + WATCH_MS
-    assert make_pacing().next_share(move, status(left_ms=left_ms)) == 1000
+    assert make_pacing().next_share(move, make_status(left_ms=left_ms)) == 1000
 
 
 @pytest.mark.parametrize("left_ms", [3000, 1500])
 def test_the_share_does_not_grow_after_an_early_warning(
     left_ms: int,
 ) -> None:
-    """With half of the evidence for a verdict, more traffic adds harm."""
-    early_warning = status(left_ms=left_ms, leans_against=True)
+    """A fault that is half proved must not get more traffic.
+
+    Otherwise the version gets all the traffic before the verdict.
+    """
+    early_warning = make_status(left_ms=left_ms, leans_against=True)
     move = make_move(RISK_PERMILLE)
     assert make_pacing().next_share(move, early_warning) == RISK_PERMILLE
     assert bool(make_pacing().rollback_reason(move, early_warning)) is (
@@ -103,7 +108,7 @@
     """Budget spent on waiting is missing if full traffic reveals a fault."""
     move = make_move(30, phases.TRIAL)
     share_due = make_pacing(new_requests, all_requests).next_share(
-        move, status()
+        move, make_status()
     )
     assert share_due == share
 
@@ -122,7 +127,9 @@
 ) -> None:
     """A watch that ends by time alone would accept a bad version."""
     move = make_move(1000, phases.WATCH)
-    watch_status = status(at_step_ms=2000, left_ms=left_ms, is_clear=is_clear)
+    watch_status = make_status(
+        at_step_ms=2000, left_ms=left_ms, is_clear=is_clear
+    )
     assert (
         make_pacing(500, 1500).is_accepted(move, watch_status) is is_accepted
     )
@@ -145,7 +152,7 @@
     Without this rule the version would keep its traffic.
     """
     move = make_move(1000, phases.WATCH)
-    watch_status = status(
+    watch_status = make_status(
         at_step_ms=at_step_ms, left_ms=left_ms, is_unfavorable=True
     )
     assert (
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -12,7 +12,7 @@
 
 SPAN_MS = 16_000
 RATE = 300
-REPORT_MS = 500
+REPORT_INTERVAL_MS = 500
 USUAL_BUCKET = 40
 SLOW_BUCKET = 52
 # Latencies of cold targets are not counted, so no step has enough evidence.
@@ -114,8 +114,11 @@
         failed = max(fails(now_ms), failures_under_load if is_full else 0.0)
         counts["v2"].add(new, new * failed, bucket("v2", now_ms))
         counts["v1"].add(rate * 0.1 - new, 0, bucket("v1", now_ms))
-        if now_ms % REPORT_MS == 0:
-            tallies = [result.tally(v) for v, result in counts.items()]
+        if now_ms % REPORT_INTERVAL_MS == 0:
+            tallies = [
+                version_tallies.tally(v)
+                for v, version_tallies in counts.items()
+            ]
             conductor.hear(
                 messages.EvidenceReport("m", "h", 1, now_ms + 1, tallies),
                 now_ms,
@@ -308,7 +311,7 @@
 
 @pytest.mark.parametrize("new_leader_ms", [-1, 3000, 8000, *LEADER_CHANGES_MS])
 @pytest.mark.parametrize("rate", REQUEST_RATES)
-def test_a_good_version_is_done_in_time_whoever_leads(
+def test_a_leader_change_does_not_delay_a_good_version(
     rate: int, new_leader_ms: int
 ) -> None:
     """Delayed steps must leave time for a new leader to end the move."""
