--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -441,7 +441,10 @@
         )
 
     def old_request_counts(self) -> dict[str, int]:
-        """Return the number of old-version requests by route."""
+        """Return the number of old-version requests by route.
+
+        The key ``ALL_ROUTES`` has the sum over the routes.
+        """
         return {
             route: comparison.old_total.requests
             for route, comparison in self.by_route.items()
--- a/libs/moves/src/trefoil_moves/knobs.py
+++ b/libs/moves/src/trefoil_moves/knobs.py
@@ -28,6 +28,7 @@
 # seconds. The watch continues beyond this until there is enough evidence.
 SHORT_WATCH_MS = 700
 WATCH_MS = 30_000
+# Default of the share at risk, from which steps lead to full traffic.
 RISK_PERMILLE = 80
 
 
--- a/libs/moves/src/trefoil_moves/state.py
+++ b/libs/moves/src/trefoil_moves/state.py
@@ -20,6 +20,7 @@
 RETENTION_MS = 24 * 3600 * 1000
 MAX_PAST_COMMANDS = 8192
 MAX_FINISHED_MOVES = 256
+# Lines of a move's history.
 MAX_HISTORY = 64
 
 Outcome = messages.Outcome
--- a/libs/moves/tests/test_conductor.py
+++ b/libs/moves/tests/test_conductor.py
@@ -45,7 +45,17 @@
     bad_from_ms: int = -1,
     rate: int = 0,
 ) -> list[tuple[int, object]]:
-    """Run a move and return its decisions with their times."""
+    """Run a move and return its decisions with their times.
+
+    Args:
+        move: The move's record, which the steps change.
+        capacity: Capacity of both versions.
+        start_ms: When the controller starts.
+        until_ms: When the run stops at the latest.
+        bad_from_ms: When half of the new version's requests start to fail;
+            -1 for never.
+        rate: Requests a second.
+    """
     conductor = conductors.Conductor(
         move, move_parameters.MoveParameters(), start_ms
     )
@@ -89,6 +99,7 @@
 
 
 def shares(decisions: list[tuple[int, object]]) -> list[int]:
+    """Return the share of each step, in permille."""
     return [
         decision.permille
         for _, decision in decisions
@@ -97,6 +108,7 @@
 
 
 def final_outcome(decisions: list[tuple[int, object]]) -> tuple[int, int]:
+    """Return the time in milliseconds and the outcome of the end."""
     at_ms, decision = decisions[-1]
     assert isinstance(decision, conductors.End)
     return at_ms, decision.outcome
--- a/libs/moves/tests/test_documents.py
+++ b/libs/moves/tests/test_documents.py
@@ -11,7 +11,7 @@
 
 
 def route(name: str, **changes: object) -> messages.Route:
-    """Return a route of the service."""
+    """Return a route of the service, with some fields changed."""
     values = {
         "name": name,
         "host": "*",
--- a/libs/moves/tests/test_judge.py
+++ b/libs/moves/tests/test_judge.py
@@ -44,6 +44,7 @@
 
 
 def version_comparison() -> comparisons.VersionComparison:
+    """Return a comparison for 0.5% false alarms in 600 windows."""
     return comparisons.VersionComparison(
         "v1", "v2", threshold=11.7, tolerance=0.005
     )
@@ -151,6 +152,7 @@
 def make_report(
     sequence: int, requests: int, failures: int, incarnation: int = 1
 ) -> messages.EvidenceReport:
+    """Return a cumulative report with one tally of the new version."""
     tally = messages.Tally("r", "v2", "d", requests, failures, {10: requests})
     return messages.EvidenceReport(
         "m", "h", incarnation, sequence, [tally], False
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -38,6 +38,7 @@
 def make_pacing(
     new_requests: float = 0.0, all_requests: float = 0.0
 ) -> pacing.BoundedPacing:
+    """Return a pacing with a budget of 10% of the requests and 50 more."""
     exposure = exposures.Exposure(
         "v2", max_share=0.1, extra_requests=50, span_ms=SPAN_MS
     )
@@ -59,6 +60,7 @@
 
 
 def make_status(**changes: float | bool) -> pacing.MoveStatus:
+    """Return the default status with some fields changed."""
     return dataclasses.replace(STATUS, **changes)
 
 
--- a/libs/moves/tests/test_state.py
+++ b/libs/moves/tests/test_state.py
@@ -18,6 +18,7 @@
 def configuration(
     version: str = "v1", route_service: str = "tables", resource: str = "pay"
 ) -> messages.ApplyConfiguration:
+    """Return a configuration with one service and one route."""
     return messages.ApplyConfiguration(
         services=[messages.Service("tables", ["pay", "list"], version, 0.2)],
         routes=[
@@ -44,6 +45,7 @@
     issued_ms: int = NOW_MS,
     stamped_ms: int = NOW_MS,
 ) -> messages.Command:
+    """Return an operator's command with the given body."""
     kind, data = frames.pack_any(body)
     return messages.Command(
         command_id=command_id,
@@ -56,21 +58,24 @@
 
 
 def move(to: str = "v2", start: str = "v1") -> messages.StartMove:
+    """Return a request to move the service between two versions."""
     return messages.StartMove("tables", start, to, NOW_MS + 60_000, 50, 1000)
 
 
 def configured_state() -> states.State:
+    """Return a state with the default configuration."""
     state = states.State()
     state.apply(1, command(configuration()))
     return state
 
 
 def shares_of(state: states.State) -> dict[str, int]:
+    """Return the service's traffic shares in permille, by version."""
     record = state.items.get(item_store.SHARES + "tables")
     return {share.version: share.permille for share in record.shares}
 
 
-def test_a_resend_gets_the_same_answer_and_runs_once() -> None:
+def test_a_resent_command_gets_the_same_outcome_and_runs_once() -> None:
     """The reply is lost and the operator sends the command again.
 
     It was committed already; if it ran twice, a second move would start.
