--- a/libs/moves/src/trefoil_moves/rulings.py
+++ b/libs/moves/src/trefoil_moves/rulings.py
@@ -330,9 +330,9 @@
     """Evacuate a failure domain, or return it to service.
 
     A delayed command may arrive after its operator has sent it again and then
-    returned the domain to service. It would evacuate the domain again without
-    anyone expecting it. So it runs only if the domain has not changed since
-    the revision that its sender knew.
+    returned the domain to service. It would evacuate the domain again, and no
+    operator would know to end it. So it runs only if the domain has not
+    changed since the revision that its sender knew.
     """
     key = item_store.EVACUATION + body.domain
     present = state.items.get(key) is not None
--- a/libs/moves/tests/test_conductor.py
+++ b/libs/moves/tests/test_conductor.py
@@ -56,7 +56,7 @@
             -1 for never.
         rate: Requests a second.
     """
-    conductor = conductors.Conductor(
+    controller = conductors.Conductor(
         move, move_parameters.MoveParameters(), start_ms
     )
     totals = {"v1": [0, 0], "v2": [0, 0]}
@@ -64,8 +64,10 @@
     for now_ms in range(start_ms, until_ms, 200):
         if rate and now_ms % 1000 == 0:
             is_bad = 0 <= bad_from_ms <= now_ms
-            conductor.hear(_report(move, totals, rate, is_bad, now_ms), now_ms)
-        decision = conductor.decide(
+            controller.hear(
+                _report(move, totals, rate, is_bad, now_ms), now_ms
+            )
+        decision = controller.decide(
             move, capacity, now_ms=now_ms, wall_ms=now_ms
         )
         if decision is None:
@@ -76,7 +78,7 @@
         move.permille = decision.permille
         move.phase = decision.phase
         move.history = move.history + [f"+0s {move.phase} : x"]
-        conductor.stepped(move, now_ms)
+        controller.stepped(move, now_ms)
     return decisions
 
 
@@ -209,10 +211,12 @@
 
 def test_a_proxys_halt_takes_the_move_back() -> None:
     move = make_move(phases.RAMP, 300)
-    conductor = conductors.Conductor(move, move_parameters.MoveParameters(), 0)
+    controller = conductors.Conductor(
+        move, move_parameters.MoveParameters(), 0
+    )
     halt = messages.EvidenceReport("m", "h7", 1, 1, [], True)
-    conductor.hear(halt, 0)
-    decision = conductor.decide(move, FULL_CAPACITY, now_ms=0, wall_ms=0)
+    controller.hear(halt, 0)
+    decision = controller.decide(move, FULL_CAPACITY, now_ms=0, wall_ms=0)
     assert decision.outcome == messages.Outcome.TAKEN_BACK
     assert "h7" in decision.reason
 
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -104,11 +104,11 @@
     parameters = move_parameters.MoveParameters(
         exposed_part=EXPOSURE_SHARE, exposed_requests=EXTRA_REQUESTS
     )
-    conductor = conductors.Conductor(move, parameters, 0)
+    controller = conductors.Conductor(move, parameters, 0)
     counts = {"v1": Tallies(), "v2": Tallies()}
     for now_ms in range(0, SPAN_MS + 4000, 100):
         if now_ms == new_leader_ms:
-            conductor = conductors.Conductor(move, parameters, now_ms)
+            controller = conductors.Conductor(move, parameters, now_ms)
         new = rate * 0.1 * move.permille / 1000
         is_full = move.permille == conductors.FULL_PERMILLE
         failed = max(fails(now_ms), failures_under_load if is_full else 0.0)
@@ -119,11 +119,11 @@
                 version_tallies.tally(v)
                 for v, version_tallies in counts.items()
             ]
-            conductor.hear(
+            controller.hear(
                 messages.EvidenceReport("m", "h", 1, now_ms + 1, tallies),
                 now_ms,
             )
-        decision = conductor.decide(
+        decision = controller.decide(
             move, FULL_CAPACITY, now_ms=now_ms, wall_ms=now_ms
         )
         if isinstance(decision, conductors.End):
@@ -133,7 +133,7 @@
             move.permille = decision.permille
             move.phase = decision.phase
             move.step_ms = now_ms
-            conductor.stepped(move, now_ms)
+            controller.stepped(move, now_ms)
     raise AssertionError("the move did not end")
 
 
