--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -11,8 +11,8 @@
 from trefoil_model import clock as clocks
 from trefoil_model import effects as common
 from trefoil_model import errors
-from trefoil_moves import knobs as move_parameters
-from trefoil_moves import rulings
+from trefoil_moves import command_results
+from trefoil_moves import parameters as move_parameters
 from trefoil_moves import state as states
 from trefoil_quorum import effects as quorum_effects
 from trefoil_quorum import raft as rafts
@@ -258,7 +258,7 @@
 
     def _refusal_here(
         self, command: messages.Command
-    ) -> rulings.CommandResult | None:
+    ) -> command_results.CommandResult | None:
         """Return why a command can't be meant, by this host's settings.
 
         A slip in the name of a failure domain would else be acknowledged,
@@ -276,7 +276,9 @@
             return None
         reason = f"there is no failure domain {body.domain}"
         cause = messages.Cause.INVALID
-        return rulings.CommandResult(messages.Outcome.NOT_RUN, reason, cause)
+        return command_results.CommandResult(
+            messages.Outcome.NOT_RUN, reason, cause
+        )
 
     def _forward(self, command: messages.Command, hops: int) -> None:
         """Pass a command to the leader, if one is linked."""
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -6,9 +6,9 @@
 from trefoil_fleet import exclusions
 from trefoil_fleet import items as item_store
 from trefoil_model import effects as common
+from trefoil_moves import command_results
 from trefoil_moves import conductor as conductors
-from trefoil_moves import knobs as move_parameters
-from trefoil_moves import rulings
+from trefoil_moves import parameters as move_parameters
 from trefoil_quorum import raft as rafts
 from trefoil_wire import messages
 
@@ -66,7 +66,10 @@
             if self.proposed.get(move.move_id, 0) <= self.process.raft.applied:
                 self._decide_move(move, now_ms)
         for shares in self.process.state.items.all(item_store.SHARES):
-            if not rulings.version_in_force(shares) and not shares.move_id:
+            if (
+                not command_results.version_in_force(shares)
+                and not shares.move_id
+            ):
                 self._adopt_version(shares.service_name)
 
     def _adopt_version(self, service: str) -> None:
--- a/libs/daemon/src/trefoil_daemon/operators.py
+++ b/libs/daemon/src/trefoil_daemon/operators.py
@@ -8,7 +8,7 @@
 
 from trefoil_language import statements
 from trefoil_model import errors
-from trefoil_moves import rulings
+from trefoil_moves import command_results
 from trefoil_settings import configuration
 from trefoil_wire import frames
 from trefoil_wire import messages
@@ -91,7 +91,7 @@
 
 
 def refused(
-    command_id: str, refusal: rulings.CommandResult
+    command_id: str, refusal: command_results.CommandResult
 ) -> messages.CommandReply:
     """Return the answer to a command that was never appended."""
     return messages.CommandReply(
--- a/libs/moves/src/trefoil_moves/rulings.py
+++ b/libs/moves/src/trefoil_moves/command_results.py
@@ -12,7 +12,7 @@
 from trefoil_fleet import items as item_store
 from trefoil_wire import messages
 
-from . import knobs
+from . import parameters
 from . import phases
 
 if typing.TYPE_CHECKING:
@@ -204,8 +204,8 @@
         from_version=from_version,
         to_version=body.to_version,
         deadline_ms=deadline_ms,
-        risk_permille=body.risk_permille or knobs.RISK_PERMILLE,
-        watch_ms=body.watch_ms or knobs.default_watch_ms(span_ms),
+        risk_permille=body.risk_permille or parameters.RISK_PERMILLE,
+        watch_ms=body.watch_ms or parameters.default_watch_ms(span_ms),
         started_ms=state.clock_ms,
         permille=0,
         phase=phases.WAITING,
--- a/libs/moves/src/trefoil_moves/state.py
+++ b/libs/moves/src/trefoil_moves/state.py
@@ -13,8 +13,8 @@
 from trefoil_wire import frames
 from trefoil_wire import messages
 
+from . import command_results
 from . import phases
-from . import rulings
 
 # How long outcomes of past commands are kept.
 RETENTION_MS = 24 * 3600 * 1000
@@ -110,7 +110,7 @@
 
     def refusal(
         self, command: messages.Command
-    ) -> rulings.CommandResult | None:
+    ) -> command_results.CommandResult | None:
         """Return why a command must not run, None if it may.
 
         Past outcomes are deleted after a day. If an older command were sent
@@ -119,17 +119,17 @@
         """
         if not command.command_id or not command.operator_name:
             reason = "a command needs an id and an operator"
-            return rulings.CommandResult(Outcome.NOT_RUN, reason)
+            return command_results.CommandResult(Outcome.NOT_RUN, reason)
         can_expire = not command.content_id
         if can_expire and command.issued_ms < self.clock_ms - RETENTION_MS:
             reason = "issued over a day ago; its outcome is no longer kept"
-            return rulings.CommandResult(Outcome.EXPIRED, reason)
+            return command_results.CommandResult(Outcome.EXPIRED, reason)
         if (
             len(self.past) >= MAX_PAST_COMMANDS
             and command.command_id not in self.past
         ):
             reason = "the table of past commands is full"
-            return rulings.CommandResult(Outcome.NOT_RUN, reason)
+            return command_results.CommandResult(Outcome.NOT_RUN, reason)
         return None
 
     def apply(self, index: int, command: messages.Command) -> typing.Any:
@@ -164,12 +164,12 @@
 
     def _run(
         self, index: int, command: messages.Command
-    ) -> rulings.CommandResult:
+    ) -> command_results.CommandResult:
         try:
             body = frames.unpack_any(command.kind, command.body)
-            return rulings.run(body, self, index, command)
+            return command_results.run(body, self, index, command)
         except (errors.FrameError, KeyError, TypeError) as error:
-            return rulings.CommandResult(
+            return command_results.CommandResult(
                 Outcome.NOT_RUN, f"malformed command: {error}"
             )
 
