--- a/libs/moves/src/trefoil_moves/parameters.py
+++ b/libs/moves/src/trefoil_moves/parameters.py
@@ -1,23 +1,25 @@
-"""Parameters of moves, in operators' terms."""
+"""Parameters of moves: defaults, profiles and operators' settings."""
 
 import dataclasses
 import typing
 
 from trefoil_settings import settings as setting_store
 
-# A shorter move has no time for the steps of longer ones: twelve steps of
-# 2.5 s and the watch.
+# A move shorter than this has no time for the steps of longer moves: twelve
+# steps of 2.5 s and the watch.
 SHORT_MOVE_MS = 60_000
 # No step below the share at risk: at a few hundred requests a second a smaller
 # share reveals a fault only after half of the move.
 SHORT_FIRST_PERMILLE = 100
 SHORT_GROWTH = 4.0
 SHORT_REQUESTS = 20
-# Three steps and the wait for the first targets fit into the move. Most of it
-# is spent at the share at risk, where a second costs little exposure. Exposure
-# spent at larger shares is missing if a fault occurs only at full traffic.
-SHORT_TRIAL_SHARE = 0.19
-SHORT_STEP_SHARE = 0.04
+# Durations of the first step and of later steps, as fractions of the move's
+# length. Three steps and the wait for the first targets fit into the move.
+# Most of it is spent at the share at risk, where a second costs little
+# exposure. Exposure spent at larger shares is missing if a fault occurs only
+# at full traffic.
+SHORT_TRIAL_FRACTION = 0.19
+SHORT_STEP_FRACTION = 0.04
 SHORT_PACE = 0.15
 # Two evaluations a second delay a verdict by 0.25 s on average.
 SHORT_WINDOW_MS = 500
@@ -43,20 +45,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MoveParameters:
-    """How careful moves are.
+    """Thresholds, step sizes and durations of moves.
 
     Args:
         false_alarms: Share of good versions that may be taken back.
         tolerance: Difference of failure rates that does not matter.
         first_permille: Share of traffic at the first step.
         step_growth: Factor by which the share grows at each step.
-        requests_per_step: Requests of the new version that a route must
-            have at a step before the next one.
+        requests_per_step: Requests to the new version that a route must
+            have at a step before the next step.
         min_step_ms: Shortest time at a step.
         min_trial_ms: Shortest time at the first step, if longer.
         pace: Share of the time to the deadline that the steps are spread
             over; a fault that occurs late then affects a smaller share.
-        max_pace_ms: Longest time that the pace alone holds a step.
+        max_pace_ms: Longest time for which ``pace`` alone delays the next
+            step.
         compare_ms: How long both versions serve side by side after a
             suspicion at full traffic; up to three times as long while there
             is evidence against the new one.
@@ -116,8 +119,8 @@
             first_permille=SHORT_FIRST_PERMILLE,
             step_growth=SHORT_GROWTH,
             requests_per_step=SHORT_REQUESTS,
-            min_step_ms=int(span_ms * SHORT_STEP_SHARE),
-            min_trial_ms=int(span_ms * SHORT_TRIAL_SHARE),
+            min_step_ms=int(span_ms * SHORT_STEP_FRACTION),
+            min_trial_ms=int(span_ms * SHORT_TRIAL_FRACTION),
             pace=SHORT_PACE,
             window_ms=SHORT_WINDOW_MS,
             compare_ms=SHORT_COMPARE_MS,
