--- a/libs/moves/src/trefoil_moves/comparison.py
+++ b/libs/moves/src/trefoil_moves/comparison.py
@@ -14,17 +14,17 @@
 from . import evidence as evidences
 from . import sequential
 
-# Factor applied to the recent counts in each window of the usual length.
+# Factor by which recent counts decay in each window of the usual length.
 DECAY_PER_WINDOW = 0.95
 # Quantile of the old version's latency from which requests count as slow.
 SLOW_QUANTILE = 0.9
 # Quantile that a latency verdict compares.
 TAIL_QUANTILE = 0.95
-# Least increase of a tail quantile that matters, in latency buckets.
+# Minimum increase of a tail quantile that matters, in latency buckets.
 TAIL_BUCKETS = 3
 # Distance of the slow bucket above the quantile, in latency buckets.
 SLOW_BUCKETS = 1
-# Least number of latencies for a quantile.
+# Minimum number of latencies for an estimate of a quantile.
 MIN_LATENCIES = 40
 # Added to the measured failure rate of the old version.
 BASELINE_TOLERANCE = 0.003
@@ -32,7 +32,7 @@
 BASELINE_ALARM_MARGIN = 0.016
 # Logarithm of the evidence that raises a suspicion during the watch.
 BASELINE_EVIDENCE = 5.0
-# Least increase of the failure rate that counts as a fault.
+# Minimum increase of the failure rate that counts as a fault.
 CLEARANCE_FAULT_MARGIN = 0.1
 # At most one bad version in a hundred is cleared by chance.
 CLEARANCE_EVIDENCE = math.log(100)
@@ -78,7 +78,8 @@
     Args:
         failures: The test of failure rates.
         slowness: The test of slow requests.
-        baseline: The test of failures without the old version's traffic.
+        baseline: The test of failures while the old version has no traffic;
+            None outside the watch.
         reference: The old version's counts that the watch compares with.
         slow_bucket: Latency bucket from which a request counts as slow; -1
             until enough latencies of the old version are known.
@@ -108,7 +109,11 @@
 
 
 class VersionComparison:
-    """Compares one move's new version with the old one, by windows.
+    """Compares one move's new version with the old one, window by window.
+
+    While both versions have traffic, their counts in the same window are
+    compared. During the watch the new version has all the traffic, so it is
+    compared with the old version's past counts.
 
     Args:
         old_version: The version known to be good.
@@ -157,7 +162,7 @@
 
         Args:
             window: Counts reported since the last window.
-            weight: Length of the window, in windows of the usual length.
+            weight: Length of the window, as a multiple of the usual length.
         """
         decay = DECAY_PER_WINDOW**weight
         routes = evidences.routes_in(window)
@@ -181,8 +186,8 @@
     ) -> None:
         """Add all routes' strata to the comparison over all routes.
 
-        With little traffic the evidence of a fault may not suffice in time on
-        any single route, but does on all routes together. The strata stay
+        With little traffic no single route may yield enough evidence of a
+        fault in time, although all routes together do. The strata stay
         separate, so routes that differ are not mixed.
         """
         pooled = self.by_route.setdefault(ALL_ROUTES, RouteComparison())
@@ -364,7 +369,7 @@
         return comparison.old_total
 
     def suspicion(self) -> Suspicion | None:
-        """Return the first suspicion during the watch, None if none."""
+        """Return the first suspicion during the watch, None without one."""
         for route, comparison in self.by_route.items():
             if comparison.baseline is None or route == ALL_ROUTES:
                 continue
@@ -387,7 +392,7 @@
         )
         return base_bucket >= 0 and tail_bucket - base_bucket >= TAIL_BUCKETS
 
-    def leans_against(self) -> bool:
+    def has_early_warning(self) -> bool:
         """Tell whether a test has half of the evidence for a verdict."""
         half = self.threshold / 2
         return any(
@@ -452,7 +457,11 @@
 
 
 def _base_rate(reference: evidences.Counts) -> float:
-    """Return the failure rate of a good version, never exactly 0 or 1."""
+    """Return the failure rate of a good version, never exactly 0 or 1.
+
+    The added half failure and 50 requests keep the rate above 0 while there
+    are few counts.
+    """
     rate = (reference.failures + 0.5) / (reference.requests + 50)
     return min(rate + BASELINE_TOLERANCE, 0.9)
 
--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -16,17 +16,21 @@
 from . import parameters as move_parameters
 from . import phases
 
-# Windows per move and per comparison that the false-alarm rate is based on.
+# Numbers of windows in a move and in a comparison that the bound on false
+# alarms refers to.
 EXPECTED_WINDOWS = 600
 COMPARE_WINDOWS = 40
-# Shares of the new version in permille, used in turn.
+# Shares of the new version during comparisons, in permille, used in turn.
 COMPARE_SHARES = (250, 800)
+# A comparison may last this many times longer while there is evidence against
+# the new version.
 COMPARE_EXTENSION_FACTOR = 3
+# A route with a smaller part of the requests doesn't delay the next step.
 LOW_TRAFFIC_SHARE = 0.02
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Interval between two decisions on a move.
 DECIDE_MS = 100
-# New slots per old slot that suffice for all the traffic.
+# Ratio of new to old slots that suffices for all the traffic.
 SLOTS_MARGIN = 0.9
 
 
@@ -111,7 +115,8 @@
 
     Args:
         move: The move's record in the replicated state.
-        parameters: How careful to be.
+        parameters: Thresholds, step sizes and durations, before they are
+            adapted to the length of the move.
         now_ms: The time on the runtime's clock.
     """
 
@@ -241,7 +246,7 @@
         self.window_started_ms = now_ms
         window = self.merger.take_window()
         self.exposure.add(window)
-        if self._covers_full_share(now_ms):
+        if self._can_begin_clearance(now_ms):
             self.comparison.begin_clearance()
         verdict = self.comparison.add(
             window, elapsed_ms / self.parameters.window_ms
@@ -252,15 +257,20 @@
         """Return the length of an evidence window.
 
         At full traffic each tenth of a second of a fault matters. Short
-        windows do no harm then, since no strata of two versions are compared
-        that would get smaller.
+        windows do no harm then: the old version has no traffic, so there are
+        no strata of two versions that would become too small to compare.
         """
         if self.exposure.is_bounded and self.phase == phases.WATCH:
             return DECIDE_MS
         return self.parameters.window_ms
 
-    def _covers_full_share(self, now_ms: int) -> bool:
-        """Tell whether new reports only cover requests at full traffic."""
+    def _can_begin_clearance(self, now_ms: int) -> bool:
+        """Tell whether the collection of evidence for clearance can begin.
+
+        Reports must cover only requests at full traffic, so the share must
+        have reached every proxy, and a report interval must have passed
+        since.
+        """
         if self.phase != phases.WATCH or self.comparison.clearance is not None:
             return False
         interval_ms = evidences.report_interval_ms(len(self.merger.by_host))
@@ -310,7 +320,7 @@
         share = min(share, _share_for(capacity))
         if share <= move.permille:
             return None
-        has_evidence = status.has_evidence and not status.leans_against
+        has_evidence = status.has_evidence and not status.has_early_warning
         reason = (
             "evidence is in" if has_evidence else "thin evidence, time is due"
         )
@@ -326,7 +336,7 @@
             counted_ms=now_ms - self.counted_since_ms,
             detection_delay_ms=self._detection_delay_ms(),
             has_evidence=self._has_evidence(),
-            leans_against=self.comparison.leans_against(),
+            has_early_warning=self.comparison.has_early_warning(),
             is_clear=self.comparison.is_clear,
             is_unfavorable=self.comparison.is_unfavorable,
         )
@@ -343,7 +353,7 @@
             given=round(self.exposure.new_requests),
             requests=round(self.exposure.all_requests),
             payable_ms=round(self.exposure.remaining_ms(status.counted_ms)),
-            leans_against=status.leans_against,
+            leans_against=status.has_early_warning,
             is_clear=status.is_clear,
         )
 
@@ -381,7 +391,7 @@
         """Tell whether each route had enough requests at this step.
 
         A low-traffic route, with under 2% of the requests, doesn't delay the
-        move; the watch at full traffic still covers it.
+        move, since the watch at full traffic covers it too.
         """
         new_counts = self.comparison.new_request_counts()
         old_counts = self.comparison.old_request_counts()
@@ -435,7 +445,7 @@
 
     def _decide_compare(self, now_ms: int) -> Decision:
         limit_ms = self.parameters.compare_ms
-        if self.comparison.leans_against():
+        if self.comparison.has_early_warning():
             limit_ms *= COMPARE_EXTENSION_FACTOR
         if now_ms - self.step_started_ms < limit_ms:
             return None
@@ -458,7 +468,7 @@
 
 
 def _share_for(capacity: Capacity) -> int:
-    """Return the permille that the new version's slots can serve."""
+    """Return the share that the new version's slots allow, in permille."""
     if not capacity.old_slots:
         return FULL_PERMILLE
     ratio = capacity.new_slots / capacity.old_slots
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -6,6 +6,10 @@
 is expensive: the move waits at a share within the exposure budget until the
 later steps just fit before the deadline, and the version is accepted only
 once requests at full traffic have cleared it.
+
+The first steps don't exceed the share at risk (``risk_permille`` of a move).
+Without a bound no step before the deadline skips this share. With a bound a
+larger share follows only once the later steps are due.
 """
 
 import dataclasses
@@ -20,14 +24,14 @@
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Part of the remaining time that is reserved for a change of leader.
 RAMP_RESERVE = 0.25
-# Evidence against the version extends the longest step by this factor. With
-# bounded exposure it ends the move if the time left is less than that of the
-# later steps, divided by this factor.
+# Evidence against the version multiplies the maximum duration of a step by
+# this factor. With bounded exposure it ends the move once the time left is
+# less than the time of the later steps divided by this factor.
 EARLY_WARNING_FACTOR = 2
 # Time until a new leader is elected and has received every proxy's report.
 LEADER_CHANGE_MS = 2000
-# A version that was cleared is accepted this long before the deadline, others
-# later.
+# A version that the evidence has cleared is accepted this long before the
+# deadline, other versions only COMMIT_END_MS before it.
 CLEARED_END_MS = 1200
 # Time to commit the end of a move and to answer operators' queries about it.
 COMMIT_END_MS = 500
@@ -47,9 +51,11 @@
         counted_ms: How long requests have been counted.
         detection_delay_ms: Time from a fault to its rollback.
         has_evidence: Whether each route had enough requests at this step.
-        leans_against: Whether there is half of the evidence for a verdict.
+        has_early_warning: Whether there is half of the evidence for a
+            verdict against the new version.
         is_clear: Whether requests at full traffic cleared the version.
-        is_unfavorable: Whether they are more against it than for it.
+        is_unfavorable: Whether these requests are more evidence against the
+            version than for it.
     """
 
     at_step_ms: float
@@ -57,13 +63,13 @@
     counted_ms: float
     detection_delay_ms: float
     has_evidence: bool
-    leans_against: bool
+    has_early_warning: bool
     is_clear: bool
     is_unfavorable: bool
 
 
 class Pacing(typing.Protocol):
-    """Strategy of the move controller for shares and times."""
+    """Strategy that decides on the shares and times of a move's steps."""
 
     def first_share(
         self, move: messages.MoveRecord, status: MoveStatus
@@ -88,7 +94,7 @@
     """Steps by evidence, spread evenly over the time to the deadline.
 
     Args:
-        parameters: How careful the move is.
+        parameters: Thresholds, step sizes and durations of the move.
     """
 
     __slots__ = ("parameters",)
@@ -109,7 +115,7 @@
         available_ms = status.left_ms * (1 - RAMP_RESERVE)
         max_step_ms = max(available_ms / self._steps_left(move), 0)
         has_evidence = status.has_evidence
-        if status.leans_against:
+        if status.has_early_warning:
             # The next seconds may prove a fault that more traffic would hit.
             has_evidence = False
             max_step_ms *= EARLY_WARNING_FACTOR
@@ -140,7 +146,7 @@
     def min_duration_ms(
         self, move: messages.MoveRecord, left_ms: float
     ) -> float:
-        """Return the least length of a step, even with enough evidence."""
+        """Return the minimum duration of a step, even with evidence."""
         paced_ms = left_ms * self.parameters.pace / self._steps_left(move)
         paced_ms = min(paced_ms, self.parameters.max_pace_ms)
         min_duration_ms = self.parameters.min_step_ms
@@ -168,7 +174,7 @@
     that lasts until the evidence clears it.
 
     Args:
-        parameters: How careful the move is.
+        parameters: Thresholds, step sizes and durations of the move.
         exposure: The exposure budget of the new version.
     """
 
@@ -198,7 +204,7 @@
             move, status.left_ms
         ):
             return move.permille
-        if status.leans_against:
+        if status.has_early_warning:
             return move.permille
         if self._until_due_ms(move, status) <= 0:
             return self._shares_above(move)[0]
@@ -240,7 +246,7 @@
             return BUDGET_SPENT_REASON if rejected else ""
         cutoff_ms = self._remaining_steps_ms(move) / EARLY_WARNING_FACTOR
         is_late = status.left_ms <= cutoff_ms
-        return NO_TIME_REASON if is_late and status.leans_against else ""
+        return NO_TIME_REASON if is_late and status.has_early_warning else ""
 
     def _is_budget_spent(self, status: MoveStatus) -> bool:
         """Tell whether a fault from now on would exceed the budget."""
@@ -250,7 +256,7 @@
     def _share_below_risk(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> int:
-        """Return the next share up to the one at risk, if affordable."""
+        """Return the next share up to the share at risk, if affordable."""
         if move.permille >= move.risk_permille:
             return move.permille
         min_duration_ms = self.even_pacing.min_duration_ms(
@@ -300,7 +306,7 @@
         return min(LEADER_CHANGE_MS, self.exposure.span_ms * RAMP_RESERVE)
 
     def _shares_above(self, move: messages.MoveRecord) -> list[int]:
-        """Return the shares above the one at risk, up to full traffic."""
+        """Return the shares above the share at risk, up to full traffic."""
         shares = []
         share = max(move.permille, move.risk_permille)
         while share < FULL_PERMILLE:
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -53,7 +53,7 @@
     counted_ms=5000,
     detection_delay_ms=400,
     has_evidence=True,
-    leans_against=False,
+    has_early_warning=False,
     is_clear=False,
     is_unfavorable=False,
 )
@@ -71,7 +71,10 @@
 def test_a_step_beyond_the_share_at_risk_waits_until_it_is_due(
     left_ms: int, share: int
 ) -> None:
-    """Five seconds of good evidence don't rule out a fault in the sixth."""
+    """Five seconds without a fault don't rule out one in the sixth second.
+
+    So larger shares follow only as late as the deadline allows.
+    """
     move = make_move(RISK_PERMILLE)
     assert (
         make_pacing().next_share(move, make_status(left_ms=left_ms)) == share
@@ -92,7 +95,7 @@
 
     Otherwise the version gets all the traffic before the verdict.
     """
-    early_warning = make_status(left_ms=left_ms, leans_against=True)
+    early_warning = make_status(left_ms=left_ms, has_early_warning=True)
     move = make_move(RISK_PERMILLE)
     assert make_pacing().next_share(move, early_warning) == RISK_PERMILLE
     assert bool(make_pacing().rollback_reason(move, early_warning)) is (
@@ -107,7 +110,10 @@
 def test_a_move_waits_at_a_share_within_its_budget(
     new_requests: int, all_requests: int, share: int
 ) -> None:
-    """Budget spent on waiting is missing if full traffic reveals a fault."""
+    """Exposure that is spent at small shares is missing at full traffic.
+
+    If a fault occurs only then, the version exceeds its budget.
+    """
     move = make_move(30, phases.TRIAL)
     share_due = make_pacing(new_requests, all_requests).next_share(
         move, make_status()
