--- a/libs/moves/src/trefoil_moves/evidence.py
+++ b/libs/moves/src/trefoil_moves/evidence.py
@@ -11,9 +11,12 @@
 from trefoil_model import latency
 from trefoil_wire import messages
 
-# Short, because in a move of seconds each tenth of the time until a fault is
-# detected puts a tenth of all requests at risk.
+# Interval between a proxy's reports in a small fleet. It is short because in a
+# move of seconds each tenth of its time that passes before a fault is detected
+# puts a tenth of all requests at risk.
 REPORT_INTERVAL_MS = 250
+# Interval per host of the fleet, which limits the rate of reports in large
+# fleets.
 INTERVAL_MS_PER_HOST = 3
 # Urgent evidence is reported after this part of the usual interval.
 URGENT_INTERVAL_FACTOR = 0.4
@@ -29,7 +32,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """Requests of one route, version and failure domain."""
+    """Requests of one route, version and failure domain.
+
+    Args:
+        requests: All requests.
+        failures: Failed requests.
+        latencies: Requests to warm targets, by latency bucket.
+    """
 
     requests: float = 0
     failures: float = 0
@@ -194,14 +203,22 @@
 
 @dataclasses.dataclass(slots=True)
 class HostTallies:
-    """Cumulative counts reported by one incarnation of a proxy."""
+    """Cumulative counts reported by one incarnation of a proxy.
+
+    Args:
+        incarnation: The incarnation of the proxy's process.
+        counts: The latest counts that it reported.
+    """
 
     incarnation: int
     counts: Window
 
 
 class Merger:
-    """The leader's sum of the reports of one move."""
+    """Merges the reports of all proxies on one move, at the leader.
+
+    ``halted_by`` names a proxy that has stopped sending to the new version.
+    """
 
     __slots__ = ("by_host", "window", "halted_by")
 
@@ -212,27 +229,35 @@
 
     def add_report(self, report: messages.EvidenceReport, now_ms: int) -> None:
         """Add the increase since the host's last report to the window."""
-        known = self.by_host.get(report.host)
-        if known is not None and report.incarnation < known.incarnation:
+        host_tallies = self.by_host.get(report.host)
+        if (
+            host_tallies is not None
+            and report.incarnation < host_tallies.incarnation
+        ):
             return
-        if known is None or report.incarnation > known.incarnation:
-            known = HostTallies(report.incarnation, {})
-            self.by_host[report.host] = known
+        if (
+            host_tallies is None
+            or report.incarnation > host_tallies.incarnation
+        ):
+            host_tallies = HostTallies(report.incarnation, {})
+            self.by_host[report.host] = host_tallies
         if report.halted:
             self.halted_by = report.host
         for tally in report.tallies or ():
-            self._add_tally(known, tally)
+            self._add_tally(host_tallies, tally)
 
-    def _add_tally(self, known: HostTallies, tally: messages.Tally) -> None:
+    def _add_tally(
+        self, host_tallies: HostTallies, tally: messages.Tally
+    ) -> None:
         key = TallyKey(tally.route, tally.version, tally.domain)
-        old = known.counts.get(key, Counts())
+        old = host_tallies.counts.get(key, Counts())
         if tally.requests <= old.requests:
             # Reordered: a later report with these counts came first.
             return
         new = Counts(
             tally.requests, tally.failures, dict(tally.latencies or {})
         )
-        known.counts[key] = new
+        host_tallies.counts[key] = new
         self.window.setdefault(key, Counts()).merge(new.increase_since(old))
 
     def take_window(self) -> Window:
--- a/libs/moves/src/trefoil_moves/exposure.py
+++ b/libs/moves/src/trefoil_moves/exposure.py
@@ -10,7 +10,7 @@
 
 # Time to commit a log entry and to publish it to every proxy.
 PROPAGATION_MS = 100
-# The share of a version that has all the traffic.
+# Share of a version that has all the traffic, in permille.
 FULL_PERMILLE = 1000
 
 
