--- a/libs/moves/src/trefoil_moves/sequential.py
+++ b/libs/moves/src/trefoil_moves/sequential.py
@@ -8,9 +8,10 @@
 ratio of the two needs no estimate of the common rate, so a fault that both
 versions share cancels out.
 
-The log ratios are summed as CUSUMs, one for each r, and mixed. A version that
-turns bad late is detected as fast as one that is bad from the start, since a
-CUSUM discards evidence in its favor. Sources: Page (1954); Johari et al.,
+The log ratios are added up in CUSUMs (cumulative sums that never fall below
+0), one for each r, and the CUSUMs are mixed. A version that turns bad late is
+detected as fast as one that is bad from the start, since a CUSUM discards
+evidence in its favor. Sources: Page (1954); Johari et al.,
 "Always Valid Inference" (2015), for mixing over alternatives.
 """
 
@@ -97,7 +98,7 @@
 
     Args:
         base_rate: The failure rate of a good version.
-        fault_rate: The least failure rate of a fault.
+        fault_rate: The minimum failure rate of a fault.
         threshold: Logarithm of the evidence that clears a version.
     """
 
