--- a/libs/moves/src/trefoil_moves/command_results.py
+++ b/libs/moves/src/trefoil_moves/command_results.py
@@ -1,4 +1,4 @@
-"""Effects of each kind of committed command on the replicated state.
+"""How committed commands change the replicated state, and their results.
 
 Every control process runs the same commands in the same order and must reach
 the same state, so nothing here reads a clock or uses random numbers.
--- a/libs/moves/src/trefoil_moves/state.py
+++ b/libs/moves/src/trefoil_moves/state.py
@@ -18,6 +18,7 @@
 
 # How long outcomes of past commands are kept.
 RETENTION_MS = 24 * 3600 * 1000
+# Further commands are refused until old outcomes are deleted.
 MAX_PAST_COMMANDS = 8192
 MAX_FINISHED_MOVES = 256
 # Lines of a move's history.
@@ -91,7 +92,7 @@
 
         Commands of two operators with the same id differ in their digests.
         The first to be committed runs. The other gets the outcome "not run",
-        which stays correct since an id is never reused.
+        which stays correct since the id remains taken.
         """
         past = self.past.get(command.command_id)
         if past is None:
