--- a/libs/moves/tests/test_comparison.py
+++ b/libs/moves/tests/test_comparison.py
@@ -90,8 +90,8 @@
     assert seconds_to_verdict(window_counts) == -1
 
 
-def test_a_late_fault_is_detected_as_fast() -> None:
-    """A version works for a minute, then fails one request in five.
+def test_a_late_fault_is_detected_as_fast_as_an_early_one() -> None:
+    """A version works for a minute, then one request in five fails.
 
     Earlier evidence in its favor must not outweigh the new failures.
     """
--- a/libs/moves/tests/test_conductor.py
+++ b/libs/moves/tests/test_conductor.py
@@ -129,7 +129,8 @@
 def test_without_traffic_the_deadline_is_still_met() -> None:
     """The service gets no request until the deadline.
 
-    There is no evidence against the version, so the deadline counts.
+    There is no evidence against the version, so it must have all the traffic
+    by the deadline.
     """
     decisions = run_move(make_move())
     assert final_outcome(decisions)[1] == messages.Outcome.DONE
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -1,4 +1,4 @@
-"""Moves of seconds: three steps, and little exposure of bad versions."""
+"""Moves of seconds: three steps, few requests to a bad version."""
 
 import dataclasses
 import typing
@@ -15,7 +15,8 @@
 REPORT_INTERVAL_MS = 500
 USUAL_BUCKET = 40
 SLOW_BUCKET = 52
-# Latencies of cold targets are not counted, so no step has enough evidence.
+# Marks cold targets. Their latencies are not counted, so no step has enough
+# evidence.
 COLD = -1
 EXPOSURE_SHARE = 0.1
 EXTRA_REQUESTS = 50
@@ -138,6 +139,7 @@
 
 
 REQUEST_RATES = [20, 130, 300, 600]
+# Time until a fault is detected, committed and published to every proxy.
 ROLLBACK_MS = 600
 # Changes of leader during the last steps.
 LEADER_CHANGES_MS = [12_000, 12_500, 13_000, 13_200, 13_400, 13_600]
@@ -171,8 +173,9 @@
 def test_a_version_that_fails_under_load_is_taken_back() -> None:
     """The version works with a third of the traffic and fails with all.
 
-    The earlier steps must leave enough budget for the time until the fault is
-    detected, committed and published to every proxy: 0.6 s at the full rate.
+    The earlier steps must leave enough of the budget for the time until the
+    fault is detected, committed and published to every proxy: 0.6 s at the
+    full rate.
     """
     result = simulate_move(failures_under_load=0.15)
     assert result.outcome == messages.Outcome.TAKEN_BACK
@@ -258,7 +261,10 @@
 def test_a_new_leader_knows_the_exposure_so_far(
     new_leader_ms: int,
 ) -> None:
-    """If it counted from its own start, the budget would be spent twice."""
+    """A leader that counted from its own start would reset the budget.
+
+    The version would get its whole exposure a second time.
+    """
     result = simulate_move(
         bucket=lambda v, t: COLD if v == "v2" else USUAL_BUCKET,
         failures_under_load=0.15,
@@ -282,7 +288,10 @@
 def test_a_version_that_fails_late_is_not_accepted(
     fault_ms: int, rate: int
 ) -> None:
-    """A move that is done by half of its time is not watched afterwards."""
+    """A move that ends halfway to its deadline is no longer watched.
+
+    A fault that occurs after the end would not be detected.
+    """
     result = simulate_move(
         fails=lambda now_ms: 0.4 * (now_ms >= fault_ms), rate=rate
     )
