--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -4,8 +4,9 @@
 Without a bound, steps follow the evidence and are spread over the time that
 is left. With a bound, time at a small share is cheap and time at full traffic
 is expensive: the move waits at a share within the exposure budget until the
-later steps just fit before the deadline, and the version is accepted only
-once requests at full traffic have cleared it.
+later steps just fit before the deadline, and the version is accepted once
+requests at full traffic have cleared it, or just before the deadline unless
+they are evidence against it.
 
 The first steps don't exceed the share at risk (``risk_permille`` of a move).
 Without a bound no step before the deadline skips this share. With a bound a
@@ -24,9 +25,10 @@
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Part of the remaining time that is reserved for a change of leader.
 RAMP_RESERVE = 0.25
-# Evidence against the version multiplies the maximum duration of a step by
-# this factor. With bounded exposure it ends the move once the time left is
-# less than the time of the later steps divided by this factor.
+# An early warning (half of the evidence for a verdict) multiplies the maximum
+# duration of a step by this factor. With bounded exposure it ends the move
+# once the time left is at most the time of the later steps divided by this
+# factor.
 EARLY_WARNING_FACTOR = 2
 # Time until a new leader is elected and has received every proxy's report.
 LEADER_CHANGE_MS = 2000
@@ -91,7 +93,7 @@
 
 
 class EvenPacing:
-    """Steps by evidence, spread evenly over the time to the deadline.
+    """Takes steps on evidence, spread evenly over the remaining time.
 
     Args:
         parameters: Thresholds, step sizes and durations of the move.
@@ -166,7 +168,7 @@
 
 
 class BoundedPacing:
-    """Steps as late as the deadline allows, within the exposure budget.
+    """Takes steps as late as the deadline allows, within the budget.
 
     This limits the harm of a version that works for seconds, or on a part of
     the traffic, and fails later. It gets requests at a small share for most
@@ -263,7 +265,7 @@
             move, status.left_ms
         )
         if self._until_due_ms(move, status) < min_duration_ms:
-            # The next share would last beyond the time of the later steps.
+            # The next step would last until after the later steps are due.
             return move.permille
         share = self.even_pacing.next_share(move, status)
         affordable = self._affordable_permille(move, status)
@@ -272,7 +274,10 @@
     def _affordable_permille(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> int:
-        """Return the permille that the budget allows until later steps."""
+        """Return the affordable share, in permille.
+
+        The budget must cover the share until the later steps are due.
+        """
         waiting_ms = self._until_due_ms(move, status)
         if waiting_ms <= 0:
             return move.risk_permille
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -288,9 +288,9 @@
 def test_a_version_that_fails_late_is_not_accepted(
     fault_ms: int, rate: int
 ) -> None:
-    """A move that ends halfway to its deadline is no longer watched.
+    """A version accepted halfway to the deadline is no longer watched.
 
-    A fault that occurs after the end would not be detected.
+    A fault that occurs after that would not be detected.
     """
     result = simulate_move(
         fails=lambda now_ms: 0.4 * (now_ms >= fault_ms), rate=rate
