--- a/bench/moves.py
+++ b/bench/moves.py
@@ -13,7 +13,7 @@
 
 import traces
 
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import knobs as move_parameters
 
 TUNING_SEEDS = 1_000_000
 REPORT_SEEDS = 5_000_000
--- a/bench/roles.py
+++ b/bench/roles.py
@@ -16,8 +16,8 @@
 from trefoil_fleet import items as item_store
 from trefoil_fleet import node as nodes
 from trefoil_fleet import records as record_store
-from trefoil_moves import comparison as comparisons
 from trefoil_moves import evidence as evidences
+from trefoil_moves import judge as comparisons
 from trefoil_moves import state as states
 from trefoil_quorum import raft as rafts
 from trefoil_requests import routing
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -13,10 +13,10 @@
 import typing
 
 from trefoil_fleet import items as item_store
-from trefoil_moves import comparison as comparisons
 from trefoil_moves import conductor as conductors
 from trefoil_moves import evidence as evidences
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import judge as comparisons
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import phases
 from trefoil_moves import state as states
 from trefoil_wire import frames
--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -12,7 +12,7 @@
 from trefoil_model import effects as common
 from trefoil_model import errors
 from trefoil_moves import command_results
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import state as states
 from trefoil_quorum import effects as quorum_effects
 from trefoil_quorum import raft as rafts
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -8,7 +8,7 @@
 from trefoil_model import effects as common
 from trefoil_moves import command_results
 from trefoil_moves import conductor as conductors
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import knobs as move_parameters
 from trefoil_quorum import raft as rafts
 from trefoil_wire import messages
 
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -9,9 +9,9 @@
 from trefoil_fleet import node as nodes
 from trefoil_model import clock as clocks
 from trefoil_model import effects as common
-from trefoil_moves import comparison as comparisons
 from trefoil_moves import evidence as evidences
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import judge as comparisons
+from trefoil_moves import knobs as move_parameters
 from trefoil_requests import attribution
 from trefoil_requests import bodies
 from trefoil_requests import call as calls
--- a/libs/moves/src/trefoil_moves/command_results.py
+++ b/libs/moves/src/trefoil_moves/command_results.py
@@ -12,7 +12,7 @@
 from trefoil_fleet import items as item_store
 from trefoil_wire import messages
 
-from . import parameters
+from . import knobs as parameters
 from . import phases
 
 if typing.TYPE_CHECKING:
--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -9,11 +9,11 @@
 
 from trefoil_wire import messages
 
-from . import comparison as comparisons
 from . import evidence as evidences
 from . import exposure as exposures
+from . import judge as comparisons
+from . import knobs as move_parameters
 from . import pacing as pacings
-from . import parameters as move_parameters
 from . import phases
 
 # Numbers of windows in a move and in a comparison that the bound on false
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -19,7 +19,7 @@
 from trefoil_wire import messages
 
 from . import exposure as exposures
-from . import parameters as move_parameters
+from . import knobs as move_parameters
 from . import phases
 
 FULL_PERMILLE = exposures.FULL_PERMILLE
--- a/libs/moves/tests/test_conductor.py
+++ b/libs/moves/tests/test_conductor.py
@@ -3,7 +3,7 @@
 import pytest
 
 from trefoil_moves import conductor as conductors
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import phases
 from trefoil_settings import settings
 from trefoil_wire import messages
--- a/libs/moves/tests/test_comparison.py
+++ b/libs/moves/tests/test_judge.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from trefoil_moves import comparison as comparisons
 from trefoil_moves import evidence as evidences
+from trefoil_moves import judge as comparisons
 from trefoil_moves import sequential
 from trefoil_wire import messages
 
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -5,8 +5,8 @@
 import pytest
 
 from trefoil_moves import exposure as exposures
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import pacing
-from trefoil_moves import parameters as move_parameters
 from trefoil_moves import phases
 from trefoil_wire import messages
 
--- a/libs/moves/tests/test_short_moves.py
+++ b/libs/moves/tests/test_short_moves.py
@@ -6,7 +6,7 @@
 import pytest
 
 from trefoil_moves import conductor as conductors
-from trefoil_moves import parameters as move_parameters
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import phases
 from trefoil_wire import messages
 
