--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -11,8 +11,8 @@
 from trefoil_model import clock as clocks
 from trefoil_model import effects as common
 from trefoil_model import errors
-from trefoil_moves import knobs as knob_store
-from trefoil_moves import rulings
+from trefoil_moves import command_results
+from trefoil_moves import knobs as move_parameters
 from trefoil_moves import state as states
 from trefoil_quorum import effects as quorum_effects
 from trefoil_quorum import raft as rafts
@@ -109,7 +109,7 @@
         self.node.config.publish(self.state.items.copy(), now_ms)
         self.quarantine = quarantines.Quarantine()
         self.moves = leading_moves.LeadingMoves(
-            self, knob_store.Knobs.from_settings(settings)
+            self, move_parameters.MoveParameters.from_settings(settings)
         )
         self.evacuations = evacuations.EvacuationCalls(self)
         self.commands = operators.Waiters()
@@ -238,7 +238,7 @@
         was forwarded or appended may still run, so "not run" would be a
         guess.
         """
-        known = self.state.answer(command)
+        known = self.state.recorded_outcome(command)
         if known is not None:
             reply(operators.reply_from(known))
             return
@@ -258,7 +258,7 @@
 
     def _refusal_here(
         self, command: messages.Command
-    ) -> rulings.Ruling | None:
+    ) -> command_results.CommandResult | None:
         """Return why a command can't be meant, by this host's settings.
 
         A slip in the name of a failure domain would else be acknowledged,
@@ -276,7 +276,9 @@
             return None
         reason = f"there is no failure domain {body.domain}"
         cause = messages.Cause.INVALID
-        return rulings.Ruling(messages.Outcome.NOT_RUN, reason, cause)
+        return command_results.CommandResult(
+            messages.Outcome.NOT_RUN, reason, cause
+        )
 
     def _forward(self, command: messages.Command, hops: int) -> None:
         """Pass a command to the leader, if one is linked."""
@@ -379,7 +381,7 @@
 
     def _answer_waiters(self, command_id: str) -> None:
         for waiter in self.commands.take(command_id):
-            past = self.state.answer(waiter.request)
+            past = self.state.recorded_outcome(waiter.request)
             if past is not None:
                 waiter.reply(operators.reply_from(past))
 
