--- a/libs/daemon/src/trefoil_daemon/control.py
+++ b/libs/daemon/src/trefoil_daemon/control.py
@@ -70,7 +70,7 @@
         False if the folder holds a store already.
     """
     disk = disks.FolderDisk(settings.data_folder)
-    if disk.read(stores.PROMISE) is not None:
+    if disk.read(stores.HARD_STATE_FILE) is not None:
         return False
     stores.Store.create(disk, identities.first_identity(settings.host))
     return True
--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -82,7 +82,7 @@
         now_ms = clock.now_ms()
         self.started_ms = now_ms
         if settings.found and settings.host in settings.founders:
-            if disk.read(stores.PROMISE) is None:
+            if disk.read(stores.HARD_STATE_FILE) is None:
                 identities.found_store(disk, settings.host, settings.founders)
         self.disk = disk
         self.durability = durability.Durability()
--- a/libs/store/src/trefoil_store/__init__.py
+++ b/libs/store/src/trefoil_store/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a control process: promises, log and snapshot."""
+"""Durable state of a control process: hard state, log and snapshot."""
--- a/libs/store/src/trefoil_store/disk.py
+++ b/libs/store/src/trefoil_store/disk.py
@@ -1,4 +1,4 @@
-"""The disk as the store sees it: one data folder, durable once synced."""
+"""Disk access of the store: the files of one data folder."""
 
 import os
 import pathlib
@@ -6,34 +6,34 @@
 
 
 class Disk(typing.Protocol):
-    """What the store needs of a disk; every call returns after its sync."""
+    """Disk operations of the store; writes return once they are durable."""
 
     def read(self, name: str) -> bytes | None:
         """Return a file's content, or None if there is no such file."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole, or leave the old one."""
+        """Replace a file atomically; a failure leaves the old content."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to the end of a file."""
+        """Append data to a file, creating it if missing."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
 
 
 class FolderDisk:
-    """A disk in a folder of the file system.
+    """A disk backed by a folder of the file system.
 
     Args:
-        folder: The data folder; made if missing.
+        folder: The data folder, created if missing.
     """
 
-    __slots__ = ("folder", "handles")
+    __slots__ = ("folder", "fds")
 
     def __init__(self, folder: str | pathlib.Path) -> None:
         self.folder = pathlib.Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.handles: dict[str, int] = {}
+        self.fds: dict[str, int] = {}
 
     def read(self, name: str) -> bytes | None:
         """Return a file's content, or None if there is no such file."""
@@ -43,58 +43,58 @@
             return None
 
     def replace(self, name: str, data: bytes) -> None:
-        """Write beside the file, sync, rename over it, sync the folder.
+        """Replace a file atomically through a synced temporary file.
 
-        Without the folder's sync a power loss may bring the old name back,
-        and a vote that was promised would be forgotten.
+        The folder is synced after the rename. Otherwise a power loss could
+        bring back the old file, and a vote already granted would be lost.
         """
-        self._forget(name)
-        beside = self.folder / f"{name}.new"
-        handle = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        self._close(name)
+        temporary = self.folder / f"{name}.new"
+        fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
-            _write_all(handle, data)
-            os.fsync(handle)
+            _write_all(fd, data)
+            os.fsync(fd)
         finally:
-            os.close(handle)
-        os.rename(beside, self.folder / name)
+            os.close(fd)
+        os.rename(temporary, self.folder / name)
         self._sync_folder()
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to the end of a file and sync it."""
-        handle = self._open(name)
-        _write_all(handle, data)
-        os.fdatasync(handle)
+        """Append data to a file, creating it if missing, and sync it."""
+        fd = self._open(name)
+        _write_all(fd, data)
+        os.fdatasync(fd)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file and sync it."""
-        handle = self._open(name)
-        os.ftruncate(handle, size)
-        os.fsync(handle)
+        """Truncate a file to a size in bytes and sync it."""
+        fd = self._open(name)
+        os.ftruncate(fd, size)
+        os.fsync(fd)
 
     def _open(self, name: str) -> int:
-        handle = self.handles.get(name)
-        if handle is None:
+        fd = self.fds.get(name)
+        if fd is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-            handle = os.open(self.folder / name, flags, 0o600)
-            self.handles[name] = handle
+            fd = os.open(self.folder / name, flags, 0o600)
+            self.fds[name] = fd
             self._sync_folder()
-        return handle
+        return fd
 
-    def _forget(self, name: str) -> None:
-        handle = self.handles.pop(name, None)
-        if handle is not None:
-            os.close(handle)
+    def _close(self, name: str) -> None:
+        fd = self.fds.pop(name, None)
+        if fd is not None:
+            os.close(fd)
 
     def _sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
+        fd = os.open(self.folder, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(fd)
         finally:
-            os.close(handle)
+            os.close(fd)
 
 
 class MemoryDisk:
-    """A disk in memory, for tests and replays."""
+    """An in-memory disk for tests and replays."""
 
     __slots__ = ("files",)
 
@@ -106,19 +106,19 @@
         return self.files.get(name)
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place."""
+        """Replace a file's content."""
         self.files[name] = data
 
     def append(self, name: str, data: bytes) -> None:
-        """Add to the end of a file."""
+        """Append data to a file, creating it if missing."""
         self.files[name] = self.files.get(name, b"") + data
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file to a size in bytes."""
         self.files[name] = self.files.get(name, b"")[:size]
 
 
-def _write_all(handle: int, data: bytes) -> None:
+def _write_all(fd: int, data: bytes) -> None:
     view = memoryview(data)
     while view:
-        view = view[os.write(handle, view) :]
+        view = view[os.write(fd, view) :]
--- a/libs/store/src/trefoil_store/store.py
+++ b/libs/store/src/trefoil_store/store.py
@@ -1,7 +1,8 @@
-"""The store: hard state, snapshot and log of one control process.
+"""Durable store for the Raft state of one control process.
 
-Three files: ``promise`` (term, vote, identity), ``snapshot`` and ``log``.
-Every record is a length, a checksum and a compact Thrift struct.
+It keeps three files: ``promise`` (the hard state: term, vote and identity),
+``snapshot`` and ``log``. Each holds records made of a header with the length
+and checksums, followed by a struct in the compact Thrift encoding.
 """
 
 import collections.abc
@@ -15,41 +16,58 @@
 
 from . import disk as disks
 
-PROMISE = "promise"
-SNAPSHOT = "snapshot"
-LOG = "log"
-LENGTHS = struct.Struct(">II")
-RECORD = struct.Struct(">III")
+HARD_STATE_FILE = "promise"
+SNAPSHOT_FILE = "snapshot"
+LOG_FILE = "log"
+# Payload length and payload checksum; the header's own checksum covers these.
+CHECKED_FIELDS = struct.Struct(">II")
+# The checked fields and the header's own checksum.
+RECORD_HEADER = struct.Struct(">III")
 
 
-def seal(payload: bytes) -> bytes:
-    """Return a payload as a record.
+def encode_record(payload: bytes) -> bytes:
+    """Return a record that holds a payload.
 
-    A record is the payload's length and checksum, a checksum of these two,
-    and the payload. Without the second checksum a flipped bit in the last
-    record's length would look like a write that was cut.
+    A record consists of the payload's length and CRC-32, a CRC-32 of these
+    two fields, and the payload. Without the header's checksum a flipped bit
+    in the last record's length would look like a torn write.
     """
-    lengths = LENGTHS.pack(len(payload), zlib.crc32(payload))
-    return lengths + zlib.crc32(lengths).to_bytes(4, "big") + payload
+    fields = CHECKED_FIELDS.pack(len(payload), zlib.crc32(payload))
+    return fields + zlib.crc32(fields).to_bytes(4, "big") + payload
 
 
-def unseal_header(data: bytes, at: int, name: str) -> tuple[int, int]:
-    """Return a record's payload length and checksum.
+def decode_header(data: bytes, offset: int, name: str) -> tuple[int, int]:
+    """Return the payload length and checksum from a record's header.
+
+    Args:
+        data: The content of the file.
+        offset: Where the record starts, in bytes.
+        name: The file's name, for the error.
 
     Raises:
         StoreDamaged: The header's own checksum does not match.
     """
-    length, checksum, own = RECORD.unpack_from(data, at)
-    if zlib.crc32(data[at : at + LENGTHS.size]) != own:
-        raise errors.StoreDamaged(f"{name}: bad header at byte {at}")
+    length, checksum, header_crc = RECORD_HEADER.unpack_from(data, offset)
+    if zlib.crc32(data[offset : offset + CHECKED_FIELDS.size]) != header_crc:
+        raise errors.StoreDamaged(
+            f"{name}: bad header checksum at byte {offset}"
+        )
     return length, checksum
 
 
 class Store:
-    """What a control process must still know after it died.
+    """The durable Raft state of a control process, with a copy in memory.
 
     Args:
-        disk: Where it is kept.
+        disk: Holds the files.
+
+    Attributes:
+        hard_state: The term, vote and identity; None if never written.
+        snapshot: The latest snapshot, if any.
+        entries: The log entries after the snapshot.
+        offsets: Byte offset of each entry's record in the log file.
+        size: Size of the log file in bytes.
+        torn_bytes: Bytes of a torn write removed from the log when opened.
     """
 
     __slots__ = (
@@ -73,54 +91,58 @@
 
     @classmethod
     def open(cls, disk: disks.Disk) -> typing.Self:
-        """Read what is on a disk, cutting a torn tail.
+        """Read the state from a disk and truncate a torn end of the log.
 
         Raises:
-            StoreDamaged: Something that was synced does not read back. The
-                caller must start over under a new identity.
+            StoreDamaged: Synced data cannot be read back. The caller must
+                start over under a new identity.
         """
         store = cls(disk)
-        store.hard_state = store._read_one(PROMISE, messages.HardState)
-        store.snapshot = store._read_one(SNAPSHOT, messages.Snapshot)
+        store.hard_state = store._read_single_record(
+            HARD_STATE_FILE, messages.HardState
+        )
+        store.snapshot = store._read_single_record(
+            SNAPSHOT_FILE, messages.Snapshot
+        )
         store._read_log()
-        # A log without its promise means that a vote may be forgotten; the
-        # process could then vote twice in a term and two leaders would
-        # follow. Refusing the whole store rules that out.
+        # Without the hard state a granted vote may be forgotten. The process
+        # could then vote twice in a term, which could elect two leaders, so
+        # the whole store is rejected.
         if store.hard_state is None and (store.snapshot or store.entries):
-            raise errors.StoreDamaged("the promise file is missing")
+            raise errors.StoreDamaged(f"{HARD_STATE_FILE}: file is missing")
         return store
 
     @classmethod
     def create(cls, disk: disks.Disk, identity: str) -> typing.Self:
-        """Start over with nothing but an identity."""
+        """Create an empty store under an identity, discarding old data."""
         store = cls(disk)
-        disk.replace(LOG, b"")
-        disk.replace(SNAPSHOT, b"")
+        disk.replace(LOG_FILE, b"")
+        disk.replace(SNAPSHOT_FILE, b"")
         store.save_hard_state(
             messages.HardState(term=0, voted_for="", identity=identity)
         )
         return store
 
     def save_hard_state(self, state: messages.HardState) -> None:
-        """Make a term and vote durable."""
-        self.disk.replace(PROMISE, seal(frames.pack(state)))
+        """Make the term, vote and identity durable."""
+        self.disk.replace(HARD_STATE_FILE, encode_record(frames.pack(state)))
         self.hard_state = state
 
     def append(self, entries: collections.abc.Iterable[typing.Any]) -> None:
-        """Make entries durable at the end of the log, in one sync."""
+        """Append entries to the log and make them durable in one sync."""
         parts = []
         for entry in entries:
-            record = seal(frames.pack(entry))
+            record = encode_record(frames.pack(entry))
             self.offsets.append(self.size)
             self.entries.append(entry)
             self.size += len(record)
             parts.append(record)
         if parts:
-            self.disk.append(LOG, b"".join(parts))
+            self.disk.append(LOG_FILE, b"".join(parts))
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entries at an index and after it."""
-        keep = next(
+        """Drop the entry at an index and all later ones."""
+        first_dropped = next(
             (
                 position
                 for position, entry in enumerate(self.entries)
@@ -128,91 +150,105 @@
             ),
             len(self.entries),
         )
-        if keep == len(self.entries):
+        if first_dropped == len(self.entries):
             return
-        self.size = self.offsets[keep]
-        self.disk.truncate(LOG, self.size)
-        del self.entries[keep:]
-        del self.offsets[keep:]
+        self.size = self.offsets[first_dropped]
+        self.disk.truncate(LOG_FILE, self.size)
+        del self.entries[first_dropped:]
+        del self.offsets[first_dropped:]
 
     def save_snapshot(self, snapshot: messages.Snapshot) -> None:
-        """Make a snapshot durable and drop the log that it covers.
+        """Make a snapshot durable and drop the log entries that it covers.
 
-        The snapshot goes first: a crash in between leaves entries that the
-        snapshot covers, which ``open`` drops, never a gap.
+        The snapshot is written first. A crash between the two writes leaves
+        entries that the snapshot covers, which ``open`` drops, but no gap.
         """
-        self.disk.replace(SNAPSHOT, seal(frames.pack(snapshot)))
+        self.disk.replace(SNAPSHOT_FILE, encode_record(frames.pack(snapshot)))
         self.snapshot = snapshot
-        kept = [e for e in self.entries if e.index > snapshot.last_index]
-        records = [seal(frames.pack(entry)) for entry in kept]
-        self.disk.replace(LOG, b"".join(records))
-        self.entries = kept
+        remaining = [e for e in self.entries if e.index > snapshot.last_index]
+        records = [encode_record(frames.pack(entry)) for entry in remaining]
+        self.disk.replace(LOG_FILE, b"".join(records))
+        self.entries = remaining
         self.offsets = []
         self.size = 0
         for record in records:
             self.offsets.append(self.size)
             self.size += len(record)
 
-    def _read_one(self, name: str, kind: type) -> typing.Any:
+    def _read_single_record(self, name: str, kind: type) -> typing.Any:
         data = self.disk.read(name)
         if not data:
             return None
-        if len(data) < RECORD.size:
-            raise errors.StoreDamaged(f"{name}: {len(data)} bytes only")
-        length, checksum = unseal_header(data, 0, name)
-        payload = data[RECORD.size :]
+        if len(data) < RECORD_HEADER.size:
+            raise errors.StoreDamaged(
+                f"{name}: {len(data)} bytes, shorter than a record header"
+            )
+        length, checksum = decode_header(data, 0, name)
+        payload = data[RECORD_HEADER.size :]
         if length != len(payload) or zlib.crc32(payload) != checksum:
-            raise errors.StoreDamaged(f"{name}: the checksum does not match")
+            raise errors.StoreDamaged(
+                f"{name}: bad payload length or checksum"
+            )
         return _unpack(name, kind, payload)
 
     def _read_log(self) -> None:
-        data = self.disk.read(LOG) or b""
+        data = self.disk.read(LOG_FILE) or b""
         covered = self.snapshot.last_index if self.snapshot else 0
-        at = 0
-        while at < len(data):
-            payload = self._payload_at(data, at)
+        offset = 0
+        while offset < len(data):
+            payload = self._payload_at(data, offset)
             if payload is None:
                 break
-            entry = _unpack(LOG, messages.Entry, payload)
+            entry = _unpack(LOG_FILE, messages.Entry, payload)
             self._check_order(entry)
             if entry.index > covered:
                 self.entries.append(entry)
-                self.offsets.append(at)
-            at += RECORD.size + len(payload)
-        self.size = at
-        self.torn_bytes = len(data) - at
+                self.offsets.append(offset)
+            offset += RECORD_HEADER.size + len(payload)
+        self.size = offset
+        self.torn_bytes = len(data) - offset
         if self.torn_bytes:
-            self.disk.truncate(LOG, at)
+            self.disk.truncate(LOG_FILE, offset)
         if self.entries and self.entries[0].index != covered + 1:
-            raise errors.StoreDamaged("entries are missing after the snapshot")
+            raise errors.StoreDamaged(
+                f"log: first entry is {self.entries[0].index}, "
+                f"expected {covered + 1}"
+            )
 
-    def _payload_at(self, data: bytes, at: int) -> bytes | None:
-        """Return the payload of a record; None where a torn tail begins.
+    def _payload_at(self, data: bytes, offset: int) -> bytes | None:
+        """Return a record's payload, or None if a torn write starts there.
 
-        A write that was cut ends short or reads as zeros, and nothing was
-        promised of it, since a promise follows the sync. A record of full
-        length whose checksum is wrong may have been promised: cutting it
-        would lose an agreed entry silently, so it counts as damage.
+        A torn write ends short or reads as zeros. None of its entries was
+        acknowledged, because entries are acknowledged only after the sync. A
+        record of full length with a wrong checksum may have been
+        acknowledged. Truncating it could silently lose a committed entry, so
+        it is reported as damage.
+
+        Raises:
+            StoreDamaged: The header or payload does not match its checksum.
         """
-        start = at + RECORD.size
-        header = data[at:start]
-        # Only a blank header leads to a look at all that follows: looked at
-        # for each record, a log of megabytes takes half a second to read.
-        if not header.strip(b"\0") and not data[at:].strip(b"\0"):
+        start = offset + RECORD_HEADER.size
+        header = data[offset:start]
+        # The rest of the file is scanned for zeros only after a zero header.
+        # Scanned for each record, a log of several megabytes would take half a
+        # second to read.
+        if not header.strip(b"\0") and not data[offset:].strip(b"\0"):
             return None
-        if len(header) < RECORD.size:
+        if len(header) < RECORD_HEADER.size:
             return None
-        length, checksum = unseal_header(data, at, LOG)
+        length, checksum = decode_header(data, offset, LOG_FILE)
         payload = data[start : start + length]
         if len(payload) < length:
             return None
         if zlib.crc32(payload) != checksum:
-            raise errors.StoreDamaged(f"log: bad checksum at byte {at}")
+            raise errors.StoreDamaged(f"log: bad checksum at byte {offset}")
         return payload
 
     def _check_order(self, entry: messages.Entry) -> None:
         if self.entries and entry.index != self.entries[-1].index + 1:
-            raise errors.StoreDamaged(f"log: entry {entry.index} out of order")
+            raise errors.StoreDamaged(
+                f"log: entry {entry.index} does not follow its predecessor"
+            )
 
 
 def _unpack(name: str, kind: type, payload: bytes) -> typing.Any:
--- a/libs/store/tests/test_store.py
+++ b/libs/store/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What a control process finds on its disk after it died."""
+"""Tests that the store recovers its state after crashes and disk damage."""
 
 import pytest
 
@@ -10,10 +10,12 @@
 
 
 def entry(index: int, term: int = 1, size: int = 20) -> messages.Entry:
+    """Return a log entry with a command of a size in bytes."""
     return messages.Entry(index=index, term=term, command=b"c" * size)
 
 
-def filled(entries: int = 5) -> disks.MemoryDisk:
+def filled_disk(entries: int = 5) -> disks.MemoryDisk:
+    """Return a disk whose store holds a vote and entries from index 1."""
     disk = disks.MemoryDisk()
     store = stores.Store.create(disk, "c1#first")
     store.save_hard_state(messages.HardState(3, "c2#first", "c1#first"))
@@ -22,71 +24,80 @@
 
 
 def indexes(store: stores.Store) -> list[int]:
-    return [found.index for found in store.entries]
+    """Return the indexes of a store's log entries."""
+    return [stored.index for stored in store.entries]
 
 
-def test_what_was_synced_reads_back() -> None:
-    store = stores.Store.open(filled())
+def test_synced_records_read_back() -> None:
+    store = stores.Store.open(filled_disk())
     assert indexes(store) == [1, 2, 3, 4, 5]
     assert store.hard_state.voted_for == "c2#first"
     assert store.torn_bytes == 0
 
 
-LAST_RECORD = len(stores.seal(frames.pack(entry(5))))
+LAST_RECORD = len(stores.encode_record(frames.pack(entry(5))))
 
 
-@pytest.mark.parametrize("cut", range(1, LAST_RECORD + 1))
-def test_a_torn_tail_is_cut(cut: int) -> None:
-    """The process dies while the last record is being written.
+@pytest.mark.parametrize("cut_bytes", range(1, LAST_RECORD + 1))
+def test_a_torn_record_is_truncated(cut_bytes: int) -> None:
+    """A crash during an append leaves a torn record at the end of the log.
 
-    Its write is cut at any byte; nothing was promised of it, since a
-    promise follows the sync. The store opens with what came before.
+    The record may end at any byte. Nothing in it was acknowledged, because
+    entries are acknowledged only after the sync, so the store drops it.
     """
-    disk = filled()
-    disk.files[stores.LOG] = disk.files[stores.LOG][:-cut]
+    disk = filled_disk()
+    disk.files[stores.LOG_FILE] = disk.files[stores.LOG_FILE][:-cut_bytes]
     store = stores.Store.open(disk)
     assert indexes(store) == [1, 2, 3, 4]
     store.append([entry(5)])
     assert indexes(stores.Store.open(disk)) == [1, 2, 3, 4, 5]
 
 
-def test_a_tail_of_zeros_is_cut() -> None:
-    disk = filled()
-    disk.files[stores.LOG] += b"\0" * 300
+def test_trailing_zeros_are_truncated() -> None:
+    """A torn write may leave zeros after the last complete record."""
+    disk = filled_disk()
+    disk.files[stores.LOG_FILE] += b"\0" * 300
     assert indexes(stores.Store.open(disk)) == [1, 2, 3, 4, 5]
 
 
-@pytest.mark.parametrize("file", [stores.LOG, stores.PROMISE])
+@pytest.mark.parametrize("file", [stores.LOG_FILE, stores.HARD_STATE_FILE])
 @pytest.mark.parametrize("bit", [0, 3, 7])
-def test_damage_inside_is_never_guessed_at(file: str, bit: int) -> None:
-    """A bit of a synced record flips on the disk.
+def test_a_flipped_bit_is_reported_as_damage(file: str, bit: int) -> None:
+    """A flipped bit in a synced record must not pass for a torn write.
 
-    Cut as if it were a torn tail, an agreed entry or a vote would be
-    forgotten in silence, and another leader could be elected without it.
-    The store refuses instead, whichever byte it is.
+    Truncating the record would silently lose a committed entry or a vote, and
+    a leader that lacks it could be elected. The store reports damage whichever
+    byte is affected.
     """
-    size = len(filled().files[file])
-    for at in range(size):
-        disk = filled()
+    size = len(filled_disk().files[file])
+    for position in range(size):
+        disk = filled_disk()
         data = bytearray(disk.files[file])
-        data[at] ^= 1 << bit
+        data[position] ^= 1 << bit
         disk.files[file] = bytes(data)
         with pytest.raises(errors.StoreDamaged):
             stores.Store.open(disk)
 
 
 @pytest.mark.parametrize(
-    ("case", "lose"),
+    ("case", "lost_files"),
     [
-        ("promise lost", [stores.PROMISE]),
-        ("snapshot lost", [stores.SNAPSHOT]),
+        ("hard state lost", [stores.HARD_STATE_FILE]),
+        ("snapshot lost", [stores.SNAPSHOT_FILE]),
     ],
 )
-def test_a_lost_file_is_damage(case: str, lose: list[str]) -> None:
-    disk = filled()
+def test_a_lost_file_is_reported_as_damage(
+    case: str, lost_files: list[str]
+) -> None:
+    """A lost file must not pass for a new store.
+
+    Without its hard state the process could vote twice in a term. Without its
+    snapshot it would lack the committed entries that the snapshot covers.
+    """
+    disk = filled_disk()
     store = stores.Store.open(disk)
     store.save_snapshot(messages.Snapshot(3, 1, ["a"], [], b"state"))
-    for name in lose:
+    for name in lost_files:
         disk.files[name] = b""
     with pytest.raises(errors.StoreDamaged):
         stores.Store.open(disk)
@@ -96,51 +107,52 @@
     assert stores.Store.open(disks.MemoryDisk()).hard_state is None
 
 
-def test_truncation_lasts() -> None:
-    disk = filled()
+def test_truncation_survives_reopening() -> None:
+    disk = filled_disk()
     store = stores.Store.open(disk)
     store.truncate_from(3)
     store.append([entry(3, term=2)])
-    again = stores.Store.open(disk)
-    assert [(e.index, e.term) for e in again.entries] == [
+    reopened = stores.Store.open(disk)
+    assert [(e.index, e.term) for e in reopened.entries] == [
         (1, 1),
         (2, 1),
         (3, 2),
     ]
 
 
-def test_a_snapshot_covers_the_log() -> None:
-    disk = filled()
+def test_a_snapshot_drops_the_entries_it_covers() -> None:
+    disk = filled_disk()
     store = stores.Store.open(disk)
     store.save_snapshot(messages.Snapshot(3, 1, ["a"], [], b"state"))
     store.append([entry(6)])
-    again = stores.Store.open(disk)
-    assert again.snapshot.state == b"state"
-    assert indexes(again) == [4, 5, 6]
+    reopened = stores.Store.open(disk)
+    assert reopened.snapshot.state == b"state"
+    assert indexes(reopened) == [4, 5, 6]
 
 
-def test_a_crash_between_snapshot_and_log_loses_nothing() -> None:
-    """The process dies after the snapshot is in place, before the log is.
+def test_a_crash_between_snapshot_and_log_writes_loses_nothing() -> None:
+    """A crash after the snapshot is written, before the log is replaced.
 
-    The log still has entries that the snapshot covers; they are dropped.
+    The log still holds entries that the snapshot covers. They must be dropped
+    when the store is opened, without losing the later entries.
     """
-    disk = filled()
-    old_log = disk.files[stores.LOG]
+    disk = filled_disk()
+    old_log = disk.files[stores.LOG_FILE]
     store = stores.Store.open(disk)
     store.save_snapshot(messages.Snapshot(3, 1, ["a"], [], b"state"))
-    disk.files[stores.LOG] = old_log
-    again = stores.Store.open(disk)
-    assert indexes(again) == [4, 5]
-    again.truncate_from(5)
+    disk.files[stores.LOG_FILE] = old_log
+    reopened = stores.Store.open(disk)
+    assert indexes(reopened) == [4, 5]
+    reopened.truncate_from(5)
     assert indexes(stores.Store.open(disk)) == [4]
 
 
-def test_a_folder_disk_keeps_what_a_memory_disk_keeps(tmp_path) -> None:
+def test_a_folder_disk_persists_like_a_memory_disk(tmp_path) -> None:
     disk = disks.FolderDisk(tmp_path)
     store = stores.Store.create(disk, "c1#first")
     store.append([entry(n) for n in range(1, 400)])
     store.save_snapshot(messages.Snapshot(390, 1, ["a"], [], b"state"))
     store.truncate_from(398)
-    again = stores.Store.open(disks.FolderDisk(tmp_path))
-    assert indexes(again) == list(range(391, 398))
-    assert again.hard_state.identity == "c1#first"
+    reopened = stores.Store.open(disks.FolderDisk(tmp_path))
+    assert indexes(reopened) == list(range(391, 398))
+    assert reopened.hard_state.identity == "c1#first"
