--- a/libs/quorum/src/trefoil_quorum/raft.py
+++ b/libs/quorum/src/trefoil_quorum/raft.py
@@ -42,6 +42,7 @@
 # The top bit of the type code, which is free: there are far fewer than 128
 # message types.
 COMPRESSED_FLAG = 0x80
+# A learner that lacks at most this many entries may become a voter.
 MAX_PROMOTION_LAG_ENTRIES = 2
 # After a power loss all processes connect at the same moment. Simultaneous
 # candidates would split the vote, so the voters' first elections are staggered
@@ -229,7 +230,8 @@
         self.election_at_ms = 0
         self._update_config()
         self.leader_seen = False
-        # Only a sole voter can win at once: others need a reachable peer.
+        # A sole voter starts an election at once. With more voters there is no
+        # reachable peer to ask for a vote yet.
         only_voter = self.majority == 1
         first_ms = 0 if only_voter else election_ms // 4
         self.election_at_ms = (
@@ -384,9 +386,9 @@
 
         Right after a power loss there is no leader, and the first election
         attempt comes before the links are up. Pre-vote keeps a process that
-        starts alone from disrupting a leader. So until this process has seen
-        a leader since its start, it retries sooner than the regular election
-        timeout.
+        starts alone from disrupting a leader. It is therefore safe to retry
+        sooner than the regular election timeout until this process has seen a
+        leader since its start.
         """
         min_ms = spread_ms = self.election_ms
         if not self.leader_seen:
@@ -558,6 +560,7 @@
     def _broadcast(self) -> None:
         self.round += 1
         self.round_sent_ms[self.round] = self.now_ms
+        # Only the send times of the last 64 rounds are kept.
         self.round_sent_ms.pop(self.round - 64, None)
         self.heartbeat_at_ms = self.now_ms + self.heartbeat_ms
         for peer in self.progress:
@@ -890,7 +893,8 @@
         Otherwise hosts that are permanently lost and replaced would count as
         voters indefinitely. After two of four hosts are replaced, all four
         live hosts would have to agree, and the next loss would block every
-        command. A removed process that returns asks to join again.
+        command. A removed process that returns asks to join again. Only one
+        voter is removed per call.
         """
         removal_disabled = not self.min_voters
         if removal_disabled or len(self.voters) <= self.min_voters:
@@ -918,7 +922,7 @@
 
 @functools.singledispatch
 def handle(message: typing.Any, raft: Raft, sender: str) -> None:
-    """Dispatch a Raft message to its handler; ignore other messages."""
+    """Pass a Raft message to its handler; ignore other messages."""
 
 
 @handle.register
--- a/libs/quorum/tests/test_raft.py
+++ b/libs/quorum/tests/test_raft.py
@@ -342,23 +342,24 @@
     """
     cluster = ReliableCluster()
     cluster.run(3000)
-    old = cluster.leader()
-    cluster.propose(old, "before")
+    old_leader = cluster.leader()
+    cluster.propose(old_leader, "before")
     cluster.run(400)
-    cluster.frozen.add(old.name)
+    cluster.frozen.add(old_leader.name)
     cluster.run(5000)
     cluster.propose(cluster.leader(), "meanwhile")
     cluster.run(400)
     cluster.frozen.clear()
-    assert old.raft.is_leader
-    cluster.read(old, 7)
+    assert old_leader.raft.is_leader
+    cluster.read(old_leader, 7)
     cluster.run(1000)
     assert cluster.ready == []
     assert cluster.failed == [7]
-    assert cluster.applied_commands(old.name) == ["before", "meanwhile"]
+    assert cluster.applied_commands(old_leader.name) == ["before", "meanwhile"]
 
 
 def test_the_current_leader_answers_reads() -> None:
+    """A leader with a quorum confirms a read within 300 ms."""
     cluster = ReliableCluster()
     cluster.run(3000)
     cluster.read(cluster.leader(), 7)
@@ -375,11 +376,11 @@
     """
     cluster = ReliableCluster()
     cluster.run(3000)
-    old = cluster.leader()
-    cluster.isolated.add(old.name)
-    cluster.propose(old, "lost")
+    old_leader = cluster.leader()
+    cluster.isolated.add(old_leader.name)
+    cluster.propose(old_leader, "lost")
     cluster.run(3000)
-    assert not old.raft.is_leader
+    assert not old_leader.raft.is_leader
     cluster.propose(cluster.leader(), "kept")
     cluster.isolated.clear()
     cluster.run(2000)
@@ -418,14 +419,15 @@
         cluster.propose(cluster.leader(), str(number))
     cluster.run(500)
     followers = [n for n in NAMES if n != cluster.leader().name]
-    lost = cluster.processes[followers[0]]
-    lost.lose_disk(1)
+    rejoining = cluster.processes[followers[0]]
+    rejoining.lose_disk(1)
     cluster.run(500)
-    assert lost.raft.identity not in cluster.leader().raft.voters
-    request = messages.JoinRequest(lost.raft.identity, lost.name, "")
+    assert rejoining.raft.identity not in cluster.leader().raft.voters
+    request = messages.JoinRequest(rejoining.raft.identity, rejoining.name, "")
     leader = cluster.leader()
     cluster.perform(
-        leader.name, leader.raft.receive(lost.name, request, cluster.now_ms)
+        leader.name,
+        leader.raft.receive(rejoining.name, request, cluster.now_ms),
     )
     cluster.run(2000)
     assert sorted(leader.raft.voters) == sorted(
@@ -435,7 +437,7 @@
     cluster.run(4000)
     cluster.propose(cluster.leader(), "after")
     cluster.run(500)
-    assert cluster.applied_commands(lost.name) == [
+    assert cluster.applied_commands(rejoining.name) == [
         "0",
         "1",
         "2",
@@ -456,8 +458,8 @@
     request = messages.VoteRequest(1, "b#first", 0, 0, False)
     voter.perform(voter.raft.receive("b", request, 10_000))
     voter.lose_disk(1)
-    other = messages.VoteRequest(1, "c#first", 0, 0, False)
-    sends = voter.perform(voter.raft.receive("c", other, 20_000))
+    second_request = messages.VoteRequest(1, "c#first", 0, 0, False)
+    sends = voter.perform(voter.raft.receive("c", second_request, 20_000))
     assert [send.message.granted for send in sends] == [False]
 
 
@@ -525,8 +527,8 @@
     """
     cluster = ReliableCluster()
     raft = cluster.processes["a"].raft
-    old = messages.Entry(1, 1, rafts.encode_command(messages.Noop(1)))
-    request = messages.AppendRequest(1, "b#first", 0, 0, [old], 0, 1)
+    old_entry = messages.Entry(1, 1, rafts.encode_command(messages.Noop(1)))
+    request = messages.AppendRequest(1, "b#first", 0, 0, [old_entry], 0, 1)
     cluster.processes["a"].perform(raft.receive("b", request, 0))
     raft.tick(10_000)
     raft.receive("b", messages.VoteReply(2, "b#first", True, True), 10_000)
@@ -550,19 +552,19 @@
     for number in range(20):
         cluster.propose(leader, str(number))
     cluster.run(500)
-    lost = next(n for n in NAMES if n != leader.name)
-    cluster.processes[lost].lose_disk(1)
-    cluster.isolated.add(lost)
-    request = messages.JoinRequest(f"{lost}#1", lost, "")
+    lost_name = next(n for n in NAMES if n != leader.name)
+    cluster.processes[lost_name].lose_disk(1)
+    cluster.isolated.add(lost_name)
+    request = messages.JoinRequest(f"{lost_name}#1", lost_name, "")
     cluster.perform(
-        leader.name, leader.raft.receive(lost, request, cluster.now_ms)
+        leader.name, leader.raft.receive(lost_name, request, cluster.now_ms)
     )
     cluster.run(2000)
-    assert leader.raft.learners == [f"{lost}#1"]
-    assert f"{lost}#first" in leader.raft.voters
+    assert leader.raft.learners == [f"{lost_name}#1"]
+    assert f"{lost_name}#first" in leader.raft.voters
     cluster.isolated.clear()
     cluster.run(2000)
-    assert f"{lost}#1" in leader.raft.voters
+    assert f"{lost_name}#1" in leader.raft.voters
 
 
 def test_one_membership_change_at_a_time() -> None:
--- a/libs/store/tests/test_store.py
+++ b/libs/store/tests/test_store.py
@@ -89,7 +89,7 @@
 def test_a_lost_file_is_reported_as_damage(
     case: str, lost_files: list[str]
 ) -> None:
-    """A lost file must not pass for a new store.
+    """A store that has lost a file must be rejected, not opened without it.
 
     Without its hard state the process could vote twice in a term. Without its
     snapshot it would lack the committed entries that the snapshot covers.
@@ -104,10 +104,12 @@
 
 
 def test_an_empty_disk_has_no_identity() -> None:
+    """A new host has no hard state; opening its store must not fail."""
     assert stores.Store.open(disks.MemoryDisk()).hard_state is None
 
 
 def test_truncation_survives_reopening() -> None:
+    """Entries that a new leader has replaced must not reappear."""
     disk = filled_disk()
     store = stores.Store.open(disk)
     store.truncate_from(3)
@@ -121,6 +123,7 @@
 
 
 def test_a_snapshot_drops_the_entries_it_covers() -> None:
+    """Later entries must remain and new ones follow them in the log file."""
     disk = filled_disk()
     store = stores.Store.open(disk)
     store.save_snapshot(messages.Snapshot(3, 1, ["a"], [], b"state"))
@@ -148,6 +151,7 @@
 
 
 def test_a_folder_disk_persists_like_a_memory_disk(tmp_path) -> None:
+    """The tests above use a memory disk; this one uses real files."""
     disk = disks.FolderDisk(tmp_path)
     store = stores.Store.create(disk, "c1#first")
     store.append([entry(n) for n in range(1, 400)])
