--- a/libs/daemon/src/trefoil_daemon/_fleet_process.py
+++ b/libs/daemon/src/trefoil_daemon/_fleet_process.py
@@ -57,7 +57,7 @@
 
     def link_up(self, host: str, hello: messages.Hello, served: bool) -> None:
         """Note a subscribed link."""
-        self.node.meet(hello)
+        self.node.on_hello(hello)
         self.perform(
             self.node.linked(
                 host,
@@ -102,7 +102,7 @@
 
 
 @carry.register
-def _(effect: fleet_effects.HangUp, process: FleetProcess) -> None:
+def _(effect: fleet_effects.Disconnect, process: FleetProcess) -> None:
     process.carrier.hang_up(effect.host)
 
 
--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -154,7 +154,7 @@
     def reconfigure(self, settings: setting_store.ControlSettings) -> None:
         """Take changed settings."""
         self.settings = settings
-        self.node.overlay.rejoin(settings.known_controls)
+        self.node.overlay.set_configured(settings.known_controls)
 
     def gauges(self) -> dict[str, float]:
         """Return what is true now, for metrics."""
@@ -527,7 +527,7 @@
         if len(known) == len(hosts):
             self.listed_index = number
             listed = messages.ControlHosts(number, known)
-            self.perform(self.node.list_controls(listed, now_ms))
+            self.perform(self.node.update_controls(listed, now_ms))
 
     def _control_host(self, name: str) -> messages.ControlHost | None:
         record = self.node.members.record
@@ -604,11 +604,11 @@
             self._try_disk(now_ms)
         if not self.durability.failed:
             self.perform(self.raft.tick(now_ms))
-        self.node.follow(rafts.name_of(self.raft.leader))
+        self.node.set_leader(rafts.name_of(self.raft.leader))
         self.floors.tick()
         self.evacuations.tick()
         heard = now_ms - self.raft.heard_ms < LED_MS
-        self.node.note_led(self.raft.is_leader or heard)
+        self.node.set_leader_known(self.raft.is_leader or heard)
         self.perform(self.node.tick(now_ms))
         self._decide(now_ms)
         self._join(now_ms)
@@ -747,7 +747,7 @@
     link = process.node.links.get(host)
     now_ms = process.clock.now_ms()
     if link is not None:
-        link.heard_ms = now_ms
+        link.last_received_ms = now_ms
     if process.durability.failed:
         if isinstance(message, messages.AppendRequest):
             # Operators' commands and queries still find the leader.
--- a/libs/daemon/src/trefoil_daemon/floor_words.py
+++ b/libs/daemon/src/trefoil_daemon/floor_words.py
@@ -34,7 +34,7 @@
         if raft.identity in raft.voters:
             voters = [rafts.name_of(voter) for voter in raft.voters]
             process.perform(
-                process.node.vouch(
+                process.node.send_voter_confirmation(
                     nonce, self._newest_known(), voters, process.clock.now_ms()
                 )
             )
@@ -70,7 +70,7 @@
 
     def _keep(self, nonce: int) -> None:
         self.waiting.append(nonce)
-        del self.waiting[: -nodes.FLOOR_RELAYS]
+        del self.waiting[: -nodes.MAX_FLOOR_RELAYS]
 
     def _newest_known(self) -> int:
         """Return a revision that nothing acknowledged is above."""
@@ -83,7 +83,7 @@
     def _tell(self, nonce: int) -> None:
         process = self.process
         process.perform(
-            process.node.floor_known(
+            process.node.send_leader_confirmation(
                 nonce, process.state.items.revision, process.clock.now_ms()
             )
         )
--- a/libs/daemon/src/trefoil_daemon/hub.py
+++ b/libs/daemon/src/trefoil_daemon/hub.py
@@ -39,7 +39,7 @@
     def greeting(self, subscribe: bool) -> messages.Hello:
         """Return the greeting of this process."""
 
-    def is_far(self, host: str) -> bool:
+    def is_cross_domain(self, host: str) -> bool:
         """Tell whether a peer is in another failure domain."""
 
     def admit(self, hello: messages.Hello) -> int:
@@ -180,7 +180,7 @@
         data = frames.encode(message)
         name = type(message).__name__
         self.bytes_out[name] = self.bytes_out.get(name, 0) + len(data)
-        if self.owner.is_far(connection.host):
+        if self.owner.is_cross_domain(connection.host):
             far = self.far_bytes_out.get(name, 0)
             self.far_bytes_out[name] = far + len(data)
         connection.stream.write(data)
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -131,7 +131,7 @@
         slots = {move.from_version: 0, move.to_version: 0}
         new_targets = 0
         for record in self.process.node.members.records.present():
-            if excluded.cover(record):
+            if excluded.contains(record):
                 continue
             for target in record.targets or ():
                 ready = target.state == messages.TargetState.READY
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -206,7 +206,7 @@
     def reconfigure(self, settings: setting_store.ProxySettings) -> None:
         """Take changed settings."""
         self.settings = settings
-        self.node.overlay.rejoin(settings.known_controls)
+        self.node.overlay.set_configured(settings.known_controls)
         self.records_dirty = True
 
     def _update_collectors(self, table: routing.RouteTable) -> None:
@@ -292,14 +292,14 @@
             )
 
     def _report(self, now_ms: int) -> None:
-        above = self.node.above
-        if not above:
+        report_peer = self.node.report_peer
+        if not report_peer:
             return
         hosts = len(self.node.members.records.by_host)
         for collector in self.collectors.values():
             report = collector.report(now_ms, hosts)
             if report is not None:
-                self.carrier.link_send(above, report)
+                self.carrier.link_send(report_peer, report)
 
     # Links
 
--- a/libs/daemon/src/trefoil_daemon/runtime.py
+++ b/libs/daemon/src/trefoil_daemon/runtime.py
@@ -211,7 +211,7 @@
         def told(answered: bool) -> None:
             now_ms = self.system_clock.now_ms()
             self.engine.perform(
-                self.engine.node.probed(host, answered, now_ms)
+                self.engine.node.on_probe_result(host, answered, now_ms)
             )
 
         self.hub.probe(address, told)
@@ -262,9 +262,9 @@
         """Return the greeting of this process."""
         return self.engine.greeting(subscribe)
 
-    def is_far(self, host: str) -> bool:
+    def is_cross_domain(self, host: str) -> bool:
         """Tell whether a peer is in another failure domain."""
-        return self.engine.node.is_far(host)
+        return self.engine.node.is_cross_domain(host)
 
     def admit(self, hello: typing.Any) -> int:
         """Return 0 to serve a peer, else how long it should wait in ms."""
--- a/libs/daemon/tests/test_hub.py
+++ b/libs/daemon/tests/test_hub.py
@@ -60,7 +60,7 @@
         """Return a greeting."""
         return messages.Hello(host="me", subscribe=subscribe)
 
-    def is_far(self, host: str) -> bool:
+    def is_cross_domain(self, host: str) -> bool:
         """Hosts are near unless their name says otherwise."""
         return host.startswith("far")
 
--- a/libs/fleet/src/trefoil_fleet/distribution.py
+++ b/libs/fleet/src/trefoil_fleet/distribution.py
@@ -15,10 +15,10 @@
 from . import floor as floors
 from . import items as item_store
 
-WITNESS_MS = 1000
-LAZY_MS = 500
-PULL_PAUSE_MS = 300
-FLOOR_PAUSE_MS = 400
+MAJORITY_WAIT_MS = 1000
+REPAIR_DELAY_MS = 500
+PULL_INTERVAL_MS = 300
+FLOOR_QUERY_INTERVAL_MS = 400
 
 
 class Distribution:
@@ -37,14 +37,14 @@
         "other_seeds",
         "control",
         "held",
-        "held_ms",
+        "held_since_ms",
         "in_force",
         "rejected",
         "rejected_revision",
         "peer_held",
-        "peer_lag_ms",
-        "pulled_ms",
-        "asked_floor_ms",
+        "peer_lag_since_ms",
+        "last_pull_ms",
+        "floor_queried_ms",
         "out",
     )
 
@@ -61,14 +61,14 @@
         self.other_seeds = other_seeds
         self.control = control
         self.held = item_store.Items()
-        self.held_ms = 0
+        self.held_since_ms = 0
         self.in_force = item_store.Items()
         self.rejected = ""
         self.rejected_revision = 0
         self.peer_held: dict[str, int] = {}
-        self.peer_lag_ms: dict[str, int] = {}
-        self.pulled_ms: dict[str, int] = {}
-        self.asked_floor_ms = 0
+        self.peer_lag_since_ms: dict[str, int] = {}
+        self.last_pull_ms: dict[str, int] = {}
+        self.floor_queried_ms = 0
         self.out: list[typing.Any] = []
 
     # Input
@@ -82,42 +82,42 @@
         self, peer: str, delta: messages.ConfigDelta, now_ms: int
     ) -> None:
         """Take a delta from a peer."""
-        self._note_peer(peer, delta.revision, now_ms)
+        self._record_peer_revision(peer, delta.revision, now_ms)
         if delta.revision <= max(self.held.revision, self.rejected_revision):
             return
-        made = self.held.with_delta(delta)
-        if made is None:
+        candidate = self.held.with_delta(delta)
+        if candidate is None:
             # The base is ahead of what is held here, or the copies differ:
             # applying it would leave a mixture of two revisions in force.
             self._pull(peer, now_ms, whole=delta.base <= self.held.revision)
             return
-        found = check.problems(made)
-        if found:
-            self.rejected = "; ".join(found)
-            self.rejected_revision = made.revision
+        problems = check.find_problems(candidate)
+        if problems:
+            self.rejected = "; ".join(problems)
+            self.rejected_revision = candidate.revision
             self.out.append(
                 common.Note(
                     "config.rejected",
-                    {"revision": made.revision, "why": self.rejected},
+                    {"revision": candidate.revision, "why": self.rejected},
                     "error",
                 )
             )
             return
-        self._hold(made, now_ms)
+        self._hold(candidate, now_ms)
 
     def on_pull(self, peer: str, pull: messages.ConfigPull) -> None:
         """Give a peer what it lacks."""
-        offer = self._offer(peer)
-        if offer.revision > pull.have or pull.whole:
+        available = self._items_for(peer)
+        if available.revision > pull.have or pull.whole:
             base = 0 if pull.whole else pull.have
-            self.out.append(common.Send(peer, offer.delta_since(base)))
-            self.peer_held[peer] = offer.revision
+            self.out.append(common.Send(peer, available.delta_since(base)))
+            self.peer_held[peer] = available.revision
 
     def on_peer_revision(
         self, peer: str, revision: int, digest: int, now_ms: int
     ) -> None:
         """Note what a peer holds, as its heartbeat or notice tells."""
-        self._note_peer(peer, revision, now_ms)
+        self._record_peer_revision(peer, revision, now_ms)
         if revision > max(self.held.revision, self.rejected_revision):
             self._pull(peer, now_ms)
         elif revision == self.held.revision and digest:
@@ -127,34 +127,34 @@
     def drop_peer(self, peer: str) -> None:
         """Forget what a peer held; its next life may hold less."""
         self.peer_held.pop(peer, None)
-        self.peer_lag_ms.pop(peer, None)
+        self.peer_lag_since_ms.pop(peer, None)
 
     def tick(self, links: list[str], now_ms: int) -> None:
         """Repair peers that lag, put in force what is due."""
         for peer in links:
             self._repair(peer, now_ms)
-        due_ms = self.asked_floor_ms + FLOOR_PAUSE_MS
+        due_ms = self.floor_queried_ms + FLOOR_QUERY_INTERVAL_MS
         if links and not self.floor.proved and now_ms >= due_ms:
-            self.asked_floor_ms = now_ms
-            self._ask_floor(links)
-        self._settle(now_ms)
+            self.floor_queried_ms = now_ms
+            self._query_floor(links)
+        self._put_in_force_if_due(now_ms)
 
     # Floor
 
-    def ask_floor_of(self, peer: str) -> None:
+    def query_floor_if_unproved(self, peer: str) -> None:
         """Ask a peer at once, if there is still no proof.
 
         A proxy that waits for its next turn refuses its callers meanwhile.
         """
         if not self.floor.proved:
-            self._ask_floor([peer])
+            self._query_floor([peer])
 
-    def _ask_floor(self, links: list[str]) -> None:
+    def _query_floor(self, links: list[str]) -> None:
         query = messages.FloorQuery(nonce=0, host=self.floor.me)
         for peer in links:
             self.out.append(common.Send(peer, query))
 
-    def own_word(self) -> int:
+    def confirmed_revision(self) -> int:
         """Return the revision this seed vouches for, -1 for none."""
         if not self.is_seed or not self.floor.proved:
             return -1
@@ -162,37 +162,40 @@
 
     def on_floor_reply(self, reply: messages.FloorReply, now_ms: int) -> None:
         """Take a word about the floor."""
-        self.floor.hear(
+        self.floor.add_reply(
             reply.host, reply.revision, reply.certain, reply.voters or ()
         )
-        self._settle(now_ms)
+        self._put_in_force_if_due(now_ms)
 
     # Holding and putting in force
 
-    def _hold(self, made: item_store.Items, now_ms: int) -> None:
-        self.held = made
-        self.held_ms = now_ms
-        self._settle(now_ms)
-        if self.is_seed and self.in_force.revision < made.revision:
+    def _hold(self, candidate: item_store.Items, now_ms: int) -> None:
+        self.held = candidate
+        self.held_since_ms = now_ms
+        self._put_in_force_if_due(now_ms)
+        if self.is_seed and self.in_force.revision < candidate.revision:
             notice = messages.HeldNotice(
-                host=self.floor.me, revision=made.revision
+                host=self.floor.me, revision=candidate.revision
             )
             for peer in self.other_seeds:
                 self.out.append(common.Send(peer, notice))
 
-    def _settle(self, now_ms: int) -> None:
+    def _put_in_force_if_due(self, now_ms: int) -> None:
         held = self.held
         if held.revision <= self.in_force.revision:
             return
         if not self.floor.reached_by(held.revision):
             return
-        if not self._witnessed() and now_ms < self.held_ms + WITNESS_MS:
+        if (
+            not self._held_by_majority()
+            and now_ms < self.held_since_ms + MAJORITY_WAIT_MS
+        ):
             return
         self.in_force = held
         self.rejected = ""
         self.out.append(effects.PutInForce(held))
 
-    def _witnessed(self) -> bool:
+    def _held_by_majority(self) -> bool:
         """Tell whether a majority of the domain's seeds hold what is held.
 
         A lone seed that put a revision in force, was cut off with its
@@ -211,7 +214,7 @@
 
     # Peers
 
-    def _offer(self, peer: str) -> item_store.Items:
+    def _items_for(self, peer: str) -> item_store.Items:
         """Return what a peer may be given.
 
         Seeds exchange what they hold, to witness it; everybody else gets
@@ -220,10 +223,12 @@
         between_seeds = self.is_seed and peer in self.other_seeds
         return self.held if between_seeds else self.in_force
 
-    def _note_peer(self, peer: str, revision: int, now_ms: int) -> None:
+    def _record_peer_revision(
+        self, peer: str, revision: int, now_ms: int
+    ) -> None:
         if revision > self.peer_held.get(peer, 0):
             self.peer_held[peer] = revision
-            self._settle(now_ms)
+            self._put_in_force_if_due(now_ms)
 
     def push(self, peers: list[str]) -> None:
         """Send what just came in force to the peers served from here."""
@@ -242,22 +247,25 @@
         The eager push goes down the tree only; this catches peers whose
         own giver was slow or lost, without sending every change twice.
         """
-        offer = self._offer(peer)
+        available = self._items_for(peer)
         known = self.peer_held.get(peer)
-        if known is None or known >= offer.revision:
-            self.peer_lag_ms.pop(peer, None)
+        if known is None or known >= available.revision:
+            self.peer_lag_since_ms.pop(peer, None)
             return
-        since = self.peer_lag_ms.setdefault(peer, now_ms)
-        if now_ms - since >= LAZY_MS:
-            self.out.append(common.Send(peer, offer.delta_since(known)))
-            self.peer_lag_ms[peer] = now_ms
+        since = self.peer_lag_since_ms.setdefault(peer, now_ms)
+        if now_ms - since >= REPAIR_DELAY_MS:
+            self.out.append(common.Send(peer, available.delta_since(known)))
+            self.peer_lag_since_ms[peer] = now_ms
 
     def _pull(self, peer: str, now_ms: int, *, whole: bool = False) -> None:
         if self.control:
             return
-        if now_ms < self.pulled_ms.get(peer, -PULL_PAUSE_MS) + PULL_PAUSE_MS:
+        if (
+            now_ms
+            < self.last_pull_ms.get(peer, -PULL_INTERVAL_MS) + PULL_INTERVAL_MS
+        ):
             return
-        self.pulled_ms[peer] = now_ms
+        self.last_pull_ms[peer] = now_ms
         have = 0 if whole else self.held.revision
         pull = messages.ConfigPull(have=have, whole=whole)
         self.out.append(common.Send(peer, pull))
--- a/libs/fleet/src/trefoil_fleet/effects.py
+++ b/libs/fleet/src/trefoil_fleet/effects.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class HangUp:
+class Disconnect:
     """Close the links to a peer."""
 
     host: str
--- a/libs/fleet/src/trefoil_fleet/exclusions.py
+++ b/libs/fleet/src/trefoil_fleet/exclusions.py
@@ -31,6 +31,6 @@
             {evacuation.domain for evacuation in evacuations},
         )
 
-    def cover(self, record: messages.HostRecord) -> bool:
+    def contains(self, record: messages.HostRecord) -> bool:
         """Tell whether the targets of a host get no requests."""
         return record.host in self.hosts or record.domain in self.domains
--- a/libs/fleet/src/trefoil_fleet/floor.py
+++ b/libs/fleet/src/trefoil_fleet/floor.py
@@ -21,7 +21,7 @@
 import collections.abc
 
 
-def words_needed(count: int) -> int:
+def confirmations_needed(count: int) -> int:
     """Return how many of some hosts must vouch without the leader.
 
     Args:
@@ -46,8 +46,8 @@
         "seeds",
         "revision",
         "proved",
-        "words",
-        "voter_words",
+        "seed_revisions",
+        "voter_revisions",
     )
 
     def __init__(
@@ -57,10 +57,10 @@
         self.seeds = sorted(seeds)
         self.revision = 0
         self.proved = certain
-        self.words: dict[str, int] = {}
-        self.voter_words: dict[str, int] = {}
+        self.seed_revisions: dict[str, int] = {}
+        self.voter_revisions: dict[str, int] = {}
 
-    def hear(
+    def add_reply(
         self,
         host: str,
         revision: int,
@@ -79,7 +79,7 @@
         if self.proved:
             return
         if host in voters and revision >= 0:
-            self._hear_voter(host, revision, voters)
+            self._add_voter_reply(host, revision, voters)
             return
         if certain:
             self.revision = max(self.revision, revision)
@@ -87,21 +87,27 @@
             return
         if revision < 0 or host not in self.seeds or host == self.me:
             return
-        self.words[host] = max(self.words.get(host, 0), revision)
-        if len(self.words) >= words_needed(len(self.seeds)):
-            self.revision = max(self.words.values())
+        self.seed_revisions[host] = max(
+            self.seed_revisions.get(host, 0), revision
+        )
+        if len(self.seed_revisions) >= confirmations_needed(len(self.seeds)):
+            self.revision = max(self.seed_revisions.values())
             self.proved = True
 
-    def _hear_voter(
+    def _add_voter_reply(
         self,
         host: str,
         revision: int,
         voters: collections.abc.Collection[str],
     ) -> None:
-        self.voter_words[host] = revision
-        words = [self.voter_words[v] for v in voters if v in self.voter_words]
-        if len(words) >= words_needed(len(voters)):
-            self.revision = max(words)
+        self.voter_revisions[host] = revision
+        revisions = [
+            self.voter_revisions[v]
+            for v in voters
+            if v in self.voter_revisions
+        ]
+        if len(revisions) >= confirmations_needed(len(voters)):
+            self.revision = max(revisions)
             self.proved = True
 
     def reached_by(self, revision: int) -> bool:
--- a/libs/fleet/src/trefoil_fleet/items.py
+++ b/libs/fleet/src/trefoil_fleet/items.py
@@ -27,7 +27,7 @@
     "limits/": messages.CallerLimits,
 }
 # What a configuration document holds; the rest comes by other commands.
-OF_DOCUMENT = (SERVICE, ROUTE, "limits/")
+DOCUMENT_PREFIXES = (SERVICE, ROUTE, "limits/")
 MAX_TOMBSTONES = 512
 
 
@@ -69,19 +69,19 @@
         cls, revision: int, items: collections.abc.Iterable[messages.Item]
     ) -> typing.Self:
         """Build a configuration from all of its items."""
-        made = cls(revision)
+        configuration = cls(revision)
         for item in items:
-            made._put(item)
-        return made
+            configuration._put(item)
+        return configuration
 
     def copy(self) -> "Items":
         """Return a copy that can be changed apart."""
-        made = Items(self.revision)
-        made.by_key = dict(self.by_key)
-        made.digest = self.digest
-        made.oldest_base = self.oldest_base
-        made.decoded = dict(self.decoded)
-        return made
+        items = Items(self.revision)
+        items.by_key = dict(self.by_key)
+        items.digest = self.digest
+        items.oldest_base = self.oldest_base
+        items.decoded = dict(self.decoded)
+        return items
 
     def set(self, revision: int, key: str, record: typing.Any) -> None:
         """Put a record under a key at a new revision."""
@@ -143,17 +143,17 @@
             the digest differs. The holder then asks for the whole.
         """
         if delta.base == 0:
-            made = Items()
-            made.oldest_base = delta.revision
+            items = Items()
+            items.oldest_base = delta.revision
         elif delta.base <= self.revision:
-            made = self.copy()
+            items = self.copy()
         else:
             return None
         for item in delta.items:
-            made._put(item)
-        made.revision = delta.revision
-        made._drop_tombstones()
-        return made if made.digest == delta.digest else None
+            items._put(item)
+        items.revision = delta.revision
+        items._drop_tombstones()
+        return items if items.digest == delta.digest else None
 
     def _put(self, item: messages.Item) -> None:
         old = self.by_key.get(item.key)
@@ -167,14 +167,14 @@
 
     def _drop_tombstones(self) -> None:
         # Those of evacuations tell a command that was held up from a new one.
-        dead = [
+        tombstones = [
             item
             for item in self.by_key.values()
             if item.deleted and not item.key.startswith(EVACUATION)
         ]
-        if len(dead) <= MAX_TOMBSTONES:
+        if len(tombstones) <= MAX_TOMBSTONES:
             return
-        dead.sort(key=lambda item: item.revision)
-        for item in dead[: len(dead) - MAX_TOMBSTONES]:
+        tombstones.sort(key=lambda item: item.revision)
+        for item in tombstones[: len(tombstones) - MAX_TOMBSTONES]:
             del self.by_key[item.key]
             self.oldest_base = max(self.oldest_base, item.revision)
--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -29,11 +29,11 @@
     __slots__ = (
         "record",
         "control",
-        "prober",
+        "probes",
         "rng",
         "records",
         "probe_at_ms",
-        "doubts",
+        "unresponsive_since_ms",
         "out",
         "flood",
     )
@@ -43,16 +43,16 @@
         record: messages.HostRecord,
         *,
         control: bool,
-        prober: bool,
+        probes: bool,
         rng: random.Random,
     ) -> None:
         self.record = record
         self.control = control
-        self.prober = prober
+        self.probes = probes
         self.rng = rng
         self.records = record_store.Records()
         self.probe_at_ms = 0
-        self.doubts: dict[str, int] = {}
+        self.unresponsive_since_ms: dict[str, int] = {}
         self.out: list[typing.Any] = []
         self.flood: list[messages.HostRecord] = []
 
@@ -66,28 +66,30 @@
     ) -> None:
         """Publish the targets of this host."""
         if targets != self.record.targets:
-            self._bump(now_ms, targets=targets)
+            self._publish_next_version(now_ms, targets=targets)
 
     def leave(self, now_ms: int) -> None:
         """Say that this host leaves."""
-        self._bump(now_ms, targets=[], state=State.LEFT)
+        self._publish_next_version(now_ms, targets=[], state=State.LEFT)
 
     def on_delta(
         self, delta: messages.RecordsDelta, now_ms: int
     ) -> list[messages.HostRecord]:
         """Take records; return those that are news here."""
-        news = []
-        for record in map(self._soften, delta.records):
+        updates = []
+        for record in map(self._death_as_suspicion, delta.records):
             if record.host == self.record.host and not self.control:
                 self._refute(record, now_ms)
             elif self.records.put(record, now_ms):
-                news.append(record)
-        if news:
-            hosts = [record.host for record in news]
+                updates.append(record)
+        if updates:
+            hosts = [record.host for record in updates]
             self.out.append(effects.RecordsChanged(hosts))
-        return news
+        return updates
 
-    def _soften(self, record: messages.HostRecord) -> messages.HostRecord:
+    def _death_as_suspicion(
+        self, record: messages.HostRecord
+    ) -> messages.HostRecord:
         """Take another side's word of a death as a suspicion first.
 
         When a cut heals, each side has declared the other dead. Believed at
@@ -105,22 +107,24 @@
             return record_store.with_state(record, State.SUSPECT)
         return record
 
-    def doubt(self, host: str, now_ms: int) -> None:
+    def mark_unresponsive(self, host: str, now_ms: int) -> None:
         """Doubt a host whose link broke or whose probe failed."""
-        self.doubts.setdefault(host, now_ms)
+        self.unresponsive_since_ms.setdefault(host, now_ms)
 
-    def trust(self, host: str) -> None:
+    def mark_responsive(self, host: str) -> None:
         """Drop a doubt: the host was heard."""
-        self.doubts.pop(host, None)
+        self.unresponsive_since_ms.pop(host, None)
 
-    def probed(self, host: str, answered: bool, now_ms: int) -> None:
+    def on_probe_result(self, host: str, answered: bool, now_ms: int) -> None:
         """Take a probe's outcome."""
         if answered:
-            self.trust(host)
+            self.mark_responsive(host)
         else:
-            self.doubt(host, now_ms)
+            self.mark_unresponsive(host, now_ms)
 
-    def settle_doubts(self, heard_ms: dict[str, int], now_ms: int) -> None:
+    def suspect_unresponsive(
+        self, last_received_ms: dict[str, int], now_ms: int
+    ) -> None:
         """Suspect the hosts in doubt, if this process hears others.
 
         A process that hears nobody is itself cut off. Were it to suspect at
@@ -132,14 +136,14 @@
             heard_ms: When each linked peer was last heard.
             now_ms: The time on the runtime's clock.
         """
-        for host, since_ms in list(self.doubts.items()):
-            heard = any(
-                at_ms > since_ms
-                for peer, at_ms in heard_ms.items()
+        for host, since_ms in list(self.unresponsive_since_ms.items()):
+            receives_from_others = any(
+                received_ms > since_ms
+                for peer, received_ms in last_received_ms.items()
                 if peer != host
             )
-            if heard:
-                del self.doubts[host]
+            if receives_from_others:
+                del self.unresponsive_since_ms[host]
                 self._suspect(host, now_ms)
 
     def _suspect(self, host: str, now_ms: int) -> None:
@@ -156,7 +160,7 @@
             self.out.append(effects.RecordsChanged(changed))
             for host in changed:
                 self.out.append(common.Note("member.dead", {"peer": host}))
-        if self.prober and now_ms >= self.probe_at_ms:
+        if self.probes and now_ms >= self.probe_at_ms:
             self.probe_at_ms = now_ms + PROBE_MS
             self._probe(linked)
 
@@ -186,10 +190,10 @@
         if seen.incarnation > own.incarnation:
             own.incarnation = seen.incarnation + 1
         own.sequence = max(own.sequence, seen.sequence)
-        self._bump(now_ms)
+        self._publish_next_version(now_ms)
         self.out.append(common.Note("member.refuted", {"seen": seen.state}))
 
-    def _bump(
+    def _publish_next_version(
         self,
         now_ms: int,
         *,
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -18,27 +18,27 @@
 from . import reports as report_store
 
 HEARTBEAT_MS = 1000
-SILENT_MS = 3500
+LINK_TIMEOUT_MS = 3500
 # A heartbeat that is nearly one more late: lost, or its sender stands still.
 # Links to other control hosts are cheap beside a stale configuration, so
 # this need not be as sure as SILENT_MS.
-DOUBT_MS = 1800
+UNRESPONSIVE_MS = 1800
 # A dial takes a round trip; one to a host that is dark takes seconds to fail.
-UNLINKED_MS = 1000
+UPLINK_WAIT_MS = 1000
 REPORT_FLUSH_MS = 100
 # News that comes sooner after the last waits for this long, to go in one
 # message with what else comes: when a fleet starts, each of its hosts has news
 # for each other one several times within seconds.
-NEWS_PAUSE_MS = 100
-SUMMARY_PAUSE_MS = 5000
-QUIET_MS = 1500
-FLOOR_RELAYS = 256
+UPDATE_BATCH_MS = 100
+SUMMARY_INTERVAL_MS = 5000
+RECORDS_STABLE_MS = 1500
+MAX_FLOOR_RELAYS = 256
 JOINS_PER_S = 50
 JOIN_BURST = 50
 
 
 @dataclasses.dataclass(slots=True)
-class News:
+class RecordUpdate:
     """A record to pass on.
 
     Args:
@@ -64,11 +64,11 @@
     host: str
     control: bool
     served: bool
-    heard_ms: int
+    last_received_ms: int
     led: bool = True
     summary_ms: int = 0
     mismatches: int = 0
-    hung_up: bool = False
+    disconnecting: bool = False
 
 
 class Node:
@@ -97,8 +97,8 @@
         "heartbeat_at_ms",
         "report_at_ms",
         "refresh_at_ms",
-        "news",
-        "news_at_ms",
+        "updates",
+        "updates_due_ms",
         "floor_relays",
         "floor_nonce",
         "join_tokens",
@@ -106,7 +106,7 @@
         "joins_per_s",
         "leader",
         "led",
-        "uplinked_ms",
+        "uplink_linked_ms",
         "old_uplink",
         "rng",
         "out",
@@ -136,7 +136,7 @@
         self.members = memberships.Membership(
             record,
             control=control,
-            prober=control or self.me in seeds,
+            probes=control or self.me in seeds,
             rng=rng,
         )
         self.config = distributions.Distribution(
@@ -152,8 +152,8 @@
         self.heartbeat_at_ms = now_ms
         self.report_at_ms = now_ms
         self.refresh_at_ms = now_ms
-        self.news: dict[str, News] = {}
-        self.news_at_ms = now_ms
+        self.updates: dict[str, RecordUpdate] = {}
+        self.updates_due_ms = now_ms
         self.floor_relays: dict[int, messages.FloorQuery] = {}
         self.floor_nonce = 0
         self.join_tokens = float(JOIN_BURST)
@@ -161,7 +161,7 @@
         self.joins_per_s = joins_per_s
         self.leader = ""
         self.led = True
-        self.uplinked_ms = now_ms
+        self.uplink_linked_ms = now_ms
         self.old_uplink = ""
         self.rng = rng
         self.out: list[typing.Any] = []
@@ -175,7 +175,7 @@
         return self.config.in_force.revision > 0
 
     @property
-    def above(self) -> str:
+    def report_peer(self) -> str:
         """Return the linked peer that reports go to, empty without one.
 
         The uplink, unless it says nothing or hears of no leader: what it is
@@ -184,13 +184,17 @@
         ranked = [self.overlay.uplink, self.old_uplink]
         ranked += [link.host for link in self.links.values() if link.control]
         linked = [host for host in ranked if host in self.links]
-        sound = [host for host in linked if self._is_sound(self.links[host])]
-        return next(iter(sound + linked), "")
-
-    def _is_sound(self, link: Link) -> bool:
-        return link.led and self.now_ms - link.heard_ms < DOUBT_MS
+        responsive = [
+            host for host in linked if self._is_responsive(self.links[host])
+        ]
+        return next(iter(responsive + linked), "")
+
+    def _is_responsive(self, link: Link) -> bool:
+        return (
+            link.led and self.now_ms - link.last_received_ms < UNRESPONSIVE_MS
+        )
 
-    def is_far(self, host: str) -> bool:
+    def is_cross_domain(self, host: str) -> bool:
         """Tell whether a host is known to be in another failure domain."""
         record = self.members.records.get(host)
         domain = record.domain if record else self.overlay.domains.get(host)
@@ -219,8 +223,8 @@
         gained = (now_ms - self.join_ms) * self.joins_per_s / 1000
         self.join_tokens = min(self.join_tokens + gained, float(JOIN_BURST))
         self.join_ms = now_ms
-        peer_role = hello.control or hello.host in self.overlay.seeds
-        if self.join_tokens >= 1 or peer_role:
+        exempt = hello.control or hello.host in self.overlay.seeds
+        if self.join_tokens >= 1 or exempt:
             self.join_tokens -= 1
             return 0
         # Serving a whole herd at once would starve the heartbeats of those
@@ -241,20 +245,20 @@
         self.now_ms = now_ms
         self.links[host] = Link(host, control, served, now_ms)
         self.overlay.linked(host, now_ms)
-        self.members.trust(host)
+        self.members.mark_responsive(host)
         self.config.peer_held[host] = revision
-        self.config.ask_floor_of(host)
+        self.config.query_floor_if_unproved(host)
         if not served:
             summary = self.members.records.summary(
                 now_ms, recent_only=False, reply_wanted=True
             )
             self._send(host, summary)
-        if self.overlay.listed.number:
-            self._send(host, self.overlay.listed)
+        if self.overlay.control_hosts.number:
+            self._send(host, self.overlay.control_hosts)
         if host in (self.leader, self.overlay.uplink):
             # What was reported while this link was away would else stay
             # unknown on its far side until the next refresh.
-            self.reports.pass_again()
+            self.reports.resend_all()
         self._send(host, self._heartbeat())
         return self._flush()
 
@@ -267,15 +271,15 @@
         self.config.drop_peer(host)
         self.overlay.failed(host, now_ms, retry_after_ms)
         if was_linked and not self._is_control(host):
-            self.members.doubt(host, now_ms)
+            self.members.mark_unresponsive(host, now_ms)
         return self._flush()
 
-    def probed(
+    def on_probe_result(
         self, host: str, answered: bool, now_ms: int
     ) -> list[typing.Any]:
         """Take a probe's outcome."""
         self.now_ms = now_ms
-        self.members.probed(host, answered, now_ms)
+        self.members.on_probe_result(host, answered, now_ms)
         return self._flush()
 
     # Input
@@ -287,7 +291,7 @@
         self.now_ms = now_ms
         link = self.links.get(peer)
         if link is not None:
-            link.heard_ms = now_ms
+            link.last_received_ms = now_ms
         handle(message, self, peer)
         return self._flush()
 
@@ -299,25 +303,25 @@
         self.config.publish(items, now_ms)
         return self._flush()
 
-    def meet(self, hello: messages.Hello) -> None:
+    def on_hello(self, hello: messages.Hello) -> None:
         """Note the greeting of a control process."""
-        self.overlay.meet(hello)
+        self.overlay.on_hello(hello)
 
-    def list_controls(
-        self, listed: messages.ControlHosts, now_ms: int
+    def update_controls(
+        self, control_hosts: messages.ControlHosts, now_ms: int
     ) -> list[typing.Any]:
         """Take a newer list of control hosts and pass it on."""
         self.now_ms = now_ms
-        self._learn_controls(listed, "")
+        self._update_controls(control_hosts, "")
         return self._flush()
 
-    def _learn_controls(
-        self, listed: messages.ControlHosts, source: str
+    def _update_controls(
+        self, control_hosts: messages.ControlHosts, source: str
     ) -> None:
-        if not self.overlay.learn(listed, self.now_ms):
+        if not self.overlay.update_controls(control_hosts, self.now_ms):
             return
-        for peer in self._onward(source):
-            self._send(peer, listed)
+        for peer in self._forward_peers(source):
+            self._send(peer, control_hosts)
 
     def set_targets(
         self, targets: list[messages.TargetRecord], now_ms: int
@@ -333,7 +337,7 @@
         self.members.leave(now_ms)
         return self._flush()
 
-    def floor_known(
+    def send_leader_confirmation(
         self, nonce: int, revision: int, now_ms: int
     ) -> list[typing.Any]:
         """Pass on the agreement's word for an ``AskFloor``."""
@@ -341,17 +345,17 @@
         self._relay_floor(nonce, revision)
         return self._flush()
 
-    def vouch(
+    def send_voter_confirmation(
         self, nonce: int, revision: int, voters: list[str], now_ms: int
     ) -> list[typing.Any]:
         """Give a voter's own word for an ``AskFloor``."""
         self.now_ms = now_ms
-        asked = self.floor_relays.get(nonce)
-        if asked is not None:
+        query = self.floor_relays.get(nonce)
+        if query is not None:
             self._send(
-                asked.host,
+                query.host,
                 messages.FloorReply(
-                    asked.nonce, revision, False, self.me, voters
+                    query.nonce, revision, False, self.me, voters
                 ),
             )
         return self._flush()
@@ -360,14 +364,16 @@
         """Let time pass."""
         self.now_ms = now_ms
         self._dial()
-        self._drop_silent()
-        heard_ms = {link.host: link.heard_ms for link in self.links.values()}
-        self.members.settle_doubts(heard_ms, now_ms)
+        self._disconnect_silent()
+        last_received_ms = {
+            link.host: link.last_received_ms for link in self.links.values()
+        }
+        self.members.suspect_unresponsive(last_received_ms, now_ms)
         self.members.tick(set(self.links), now_ms)
         self.config.tick(list(self.links), now_ms)
-        if self.news and now_ms >= self.news_at_ms:
-            self._pass_news()
-        self._beat()
+        if self.updates and now_ms >= self.updates_due_ms:
+            self._send_updates()
+        self._send_periodic()
         return self._flush()
 
     # Output
@@ -380,17 +386,17 @@
         self.members.out = []
         flood, self.members.flood = self.members.flood, []
         if flood:
-            self._spread_records(flood, "")
+            self._queue_updates(flood, "")
         before = len(self.config.out)
         self.out.extend(self.config.out)
         self.config.out = []
         if before:
-            self._after_config()
+            self._after_config_change()
         out = self.out
         self.out = []
         return out
 
-    def _after_config(self) -> None:
+    def _after_config_change(self) -> None:
         changed = any(
             isinstance(effect, effects.PutInForce) for effect in self.out
         )
@@ -411,23 +417,23 @@
             rejected=self.config.rejected,
             age_ms=0,
         )
-        self.reports.hear(report, self.now_ms)
+        self.reports.add(report, self.now_ms)
 
-    def _spread_records(
+    def _queue_updates(
         self, records: list[messages.HostRecord], source: str
     ) -> None:
         for record in records:
-            self.news[record.host] = News(record, source)
-        if self.now_ms >= self.news_at_ms:
-            self._pass_news()
+            self.updates[record.host] = RecordUpdate(record, source)
+        if self.now_ms >= self.updates_due_ms:
+            self._send_updates()
 
-    def _pass_news(self) -> None:
+    def _send_updates(self) -> None:
         """Send each peer the records that it has not told itself."""
-        news, self.news = self.news, {}
-        self.news_at_ms = self.now_ms + NEWS_PAUSE_MS
+        updates, self.updates = self.updates, {}
+        self.updates_due_ms = self.now_ms + UPDATE_BATCH_MS
         due: dict[str, list[messages.HostRecord]] = {}
-        for item in news.values():
-            for peer in self._onward(item.source):
+        for item in updates.values():
+            for peer in self._forward_peers(item.source):
                 due.setdefault(peer, []).append(item.record)
         size = memberships.RECORDS_PER_FRAME
         for peer, records in due.items():
@@ -435,7 +441,7 @@
                 delta = messages.RecordsDelta(records[start : start + size])
                 self._send(peer, delta)
 
-    def _onward(self, source: str) -> list[str]:
+    def _forward_peers(self, source: str) -> list[str]:
         """Return the peers that news from another peer is passed on to.
 
         Control hosts are linked each to each. News that one of them told the
@@ -443,8 +449,8 @@
         between two of them is broken, their digests differ and repair it.
         """
         others = [link for link in self.links.values() if link.host != source]
-        told = self.links.get(source)
-        if self.control and told is not None and told.control:
+        source_link = self.links.get(source)
+        if self.control and source_link is not None and source_link.control:
             others = [link for link in others if not link.control]
         return [link.host for link in others]
 
@@ -454,18 +460,20 @@
     # Time
 
     def _dial(self) -> None:
-        spare = (
+        extra = (
             not self.config.floor.proved
-            and self.now_ms >= self.started_ms + overlays.SPARE_LINK_MS
+            and self.now_ms >= self.started_ms + overlays.EXTRA_LINKS_DELAY_MS
+        )
+        self.old_uplink = (
+            self.overlay.return_to_preferred(self.now_ms) or self.old_uplink
         )
-        self.old_uplink = self.overlay.go_home(self.now_ms) or self.old_uplink
         if self.overlay.uplink in self.links:
-            self.uplinked_ms = self.now_ms
-            self._let_go_of_old_uplink()
-        spare = spare or self._uplink_is_doubtful()
-        wanted = self.overlay.wanted(spare=spare, now_ms=self.now_ms)
+            self.uplink_linked_ms = self.now_ms
+            self._disconnect_old_uplink()
+        extra = extra or self._uplink_is_unresponsive()
+        wanted = self.overlay.wanted(extra=extra, now_ms=self.now_ms)
         if self.config.floor.proved:
-            self._drop_spare(wanted)
+            self._disconnect_extra(wanted)
         for host in wanted:
             if host in self.links:
                 continue
@@ -473,7 +481,7 @@
                 address = self.overlay.address(host)
                 self.out.append(effects.Dial(host, address))
 
-    def _let_go_of_old_uplink(self) -> None:
+    def _disconnect_old_uplink(self) -> None:
         """Hang up on the uplink that was given up, now that another serves.
 
         The one to move to may be dark, and a dial takes seconds to tell.
@@ -482,15 +490,15 @@
         """
         old, self.old_uplink = self.old_uplink, ""
         if old in self.links and old != self.overlay.uplink:
-            self._hang_up(self.links[old])
+            self._disconnect(self.links[old])
 
-    def _hang_up(self, link: Link) -> None:
+    def _disconnect(self, link: Link) -> None:
         """Close a link, once."""
-        if not link.hung_up:
-            link.hung_up = True
-            self.out.append(effects.HangUp(link.host))
+        if not link.disconnecting:
+            link.disconnecting = True
+            self.out.append(effects.Disconnect(link.host))
 
-    def _uplink_is_doubtful(self) -> bool:
+    def _uplink_is_unresponsive(self) -> bool:
         """Tell whether newer configurations may pass the uplink by.
 
         The control host above may be cut off from the other control hosts,
@@ -505,38 +513,38 @@
         link = self.links.get(self.overlay.uplink)
         link = link or self.links.get(self.old_uplink)
         if link is None:
-            return self.now_ms - self.uplinked_ms >= UNLINKED_MS
-        return not self._is_sound(link)
+            return self.now_ms - self.uplink_linked_ms >= UPLINK_WAIT_MS
+        return not self._is_responsive(link)
 
-    def _drop_spare(self, wanted: list[str]) -> None:
+    def _disconnect_extra(self, wanted: list[str]) -> None:
         """Close the links that only the proof of the floor needed."""
         if self.control or self.overlay.seeds:
             return
         for link in list(self.links.values()):
             if link.control and link.host not in wanted:
                 if self.overlay.uplink in self.links:
-                    self._hang_up(link)
+                    self._disconnect(link)
 
-    def _drop_silent(self) -> None:
+    def _disconnect_silent(self) -> None:
         for link in list(self.links.values()):
-            silent = self.now_ms - link.heard_ms >= SILENT_MS
-            if silent and not link.hung_up:
+            silent = self.now_ms - link.last_received_ms >= LINK_TIMEOUT_MS
+            if silent and not link.disconnecting:
                 # A connection can go silent for good while new ones work;
                 # waiting for its error would leave this proxy on an old
                 # configuration for as long as the kernel retries.
                 self.out.append(
                     common.Note("link.silent", {"peer": link.host})
                 )
-                self._hang_up(link)
+                self._disconnect(link)
 
-    def _beat(self) -> None:
+    def _send_periodic(self) -> None:
         if self.now_ms >= self.refresh_at_ms:
             pause = report_store.REFRESH_MS * self.rng.uniform(0.8, 1.2)
             self.refresh_at_ms = self.now_ms + int(pause)
             self._report_own()
         if self.now_ms >= self.report_at_ms and self.reports.pending:
             self.report_at_ms = self.now_ms + REPORT_FLUSH_MS
-            self._pass_reports()
+            self._forward_reports()
         if self.now_ms >= self.heartbeat_at_ms:
             self.heartbeat_at_ms = self.now_ms + HEARTBEAT_MS
             for peer in self.links:
@@ -550,7 +558,7 @@
             led=self.led,
         )
 
-    def follow(self, leader: str) -> None:
+    def set_leader(self, leader: str) -> None:
         """Pass reports to another leader from now on (control processes).
 
         Only the leader answers for the fleet. Sent to every control host, a
@@ -558,17 +566,17 @@
         """
         if leader != self.leader:
             self.leader = leader
-            self.reports.pass_again()
+            self.reports.resend_all()
 
-    def note_led(self, led: bool) -> None:
+    def set_leader_known(self, led: bool) -> None:
         """Tell peers at the next beat whether a leader is heard here."""
         if led != self.led:
             self.led = led
             self.heartbeat_at_ms = self.now_ms
 
-    def _pass_reports(self) -> None:
+    def _forward_reports(self) -> None:
         """Send new reports to the uplink, or on to the leader."""
-        peer = self.leader if self.control else self.above
+        peer = self.leader if self.control else self.report_peer
         if peer == self.me:
             self.reports.pending = {}
         elif peer in self.links:
@@ -577,26 +585,26 @@
 
     # Messages
 
-    def on_heartbeat(self, peer: str, beat: messages.Heartbeat) -> None:
+    def on_heartbeat(self, peer: str, heartbeat: messages.Heartbeat) -> None:
         """Compare digests."""
         self.config.on_peer_revision(
-            peer, beat.revision, beat.config_digest, self.now_ms
+            peer, heartbeat.revision, heartbeat.config_digest, self.now_ms
         )
         link = self.links.get(peer)
         if link is not None:
-            if beat.led and not link.led:
+            if heartbeat.led and not link.led:
                 # What was asked before there was a leader got no answer.
-                self.config.ask_floor_of(peer)
-            link.led = bool(beat.led)
-            self._compare_records(link, beat.records_digest)
+                self.config.query_floor_if_unproved(peer)
+            link.led = bool(heartbeat.led)
+            self._compare_records(link, heartbeat.records_digest)
 
     def on_reports(self, peer: str, message: messages.Reports) -> None:
         """Take reports of what is in force."""
         link = self.links.get(peer)
         from_control = self.control and link is not None and link.control
         for report in message.reports:
-            news = self.reports.hear(report, self.now_ms)
-            if news and from_control:
+            is_new = self.reports.add(report, self.now_ms)
+            if is_new and from_control:
                 # Two control hosts that take each other for the leader
                 # would send a report to and fro.
                 self.reports.pending.pop(report.host, None)
@@ -604,12 +612,12 @@
     def _compare_records(self, link: Link, digest: int) -> None:
         """Repair records that differ though nothing moves."""
         records = self.members.records
-        quiet = self.now_ms - records.last_change_ms >= QUIET_MS
+        quiet = self.now_ms - records.last_change_ms >= RECORDS_STABLE_MS
         if digest == records.digest or not quiet:
             link.mismatches = 0
             return
         link.mismatches += 1
-        due = self.now_ms >= link.summary_ms + SUMMARY_PAUSE_MS
+        due = self.now_ms >= link.summary_ms + SUMMARY_INTERVAL_MS
         if link.mismatches < 2 or not due:
             return
         link.summary_ms = self.now_ms
@@ -633,16 +641,16 @@
             delta = messages.RecordsDelta(newer[start : start + size])
             self._send(peer, delta)
         if summary.reply_wanted and self._lacks(summary):
-            back = records.summary(
+            reply = records.summary(
                 self.now_ms, recent_only=False, reply_wanted=False
             )
-            self._send(peer, back)
+            self._send(peer, reply)
 
     def _lacks(self, summary: messages.RecordsSummary) -> bool:
-        none = (-1, -1, -1)
+        unknown = (-1, -1, -1)
         for theirs in summary.versions:
             own = self.members.records.get(theirs.host)
-            mine = record_store.version_of(own) if own else none
+            mine = record_store.version_of(own) if own else unknown
             if (theirs.incarnation, theirs.sequence, theirs.state) > mine:
                 return True
         return False
@@ -654,17 +662,17 @@
             self.floor_relays[self.floor_nonce] = messages.FloorQuery(
                 nonce=query.nonce, host=peer
             )
-            self.floor_relays.pop(self.floor_nonce - FLOOR_RELAYS, None)
+            self.floor_relays.pop(self.floor_nonce - MAX_FLOOR_RELAYS, None)
             if self.control:
                 self.out.append(effects.AskFloor(self.floor_nonce, self.me))
             else:
-                onward = messages.FloorQuery(self.floor_nonce, self.me)
-                self._send(self._control_link(), onward)
-        word = self.config.own_word()
-        if word >= 0:
+                forwarded = messages.FloorQuery(self.floor_nonce, self.me)
+                self._send(self._control_link(), forwarded)
+        revision = self.config.confirmed_revision()
+        if revision >= 0:
             self._send(
                 peer,
-                messages.FloorReply(query.nonce, word, False, self.me),
+                messages.FloorReply(query.nonce, revision, False, self.me),
             )
 
     def _control_link(self) -> str:
@@ -681,11 +689,11 @@
             self._relay_floor(reply.nonce, reply.revision)
 
     def _relay_floor(self, nonce: int, revision: int) -> None:
-        asked = self.floor_relays.pop(nonce, None)
-        if asked is not None:
+        query = self.floor_relays.pop(nonce, None)
+        if query is not None:
             self._send(
-                asked.host,
-                messages.FloorReply(asked.nonce, revision, True, self.me),
+                query.host,
+                messages.FloorReply(query.nonce, revision, True, self.me),
             )
 
 
@@ -721,9 +729,9 @@
 
 @handle.register
 def _(message: messages.RecordsDelta, node: Node, peer: str) -> None:
-    news = node.members.on_delta(message, node.now_ms)
-    if news:
-        node._spread_records(news, peer)
+    updates = node.members.on_delta(message, node.now_ms)
+    if updates:
+        node._queue_updates(updates, peer)
 
 
 @handle.register
@@ -738,7 +746,7 @@
 
 @handle.register
 def _(message: messages.ControlHosts, node: Node, peer: str) -> None:
-    node._learn_controls(message, peer)
+    node._update_controls(message, peer)
 
 
 @handle.register
--- a/libs/fleet/src/trefoil_fleet/overlay.py
+++ b/libs/fleet/src/trefoil_fleet/overlay.py
@@ -12,16 +12,16 @@
 from trefoil_model import hashing
 from trefoil_wire import messages
 
-RETRY_MS = 100
+RETRY_BASE_MS = 100
 RETRY_MAX_MS = 3000
-HOME_AGAIN_MS = 15_000
-SPARE_LINK_MS = 1500
+RETURN_DELAY_MS = 15_000
+EXTRA_LINKS_DELAY_MS = 1500
 # A control host that just learned of a nearer one moves soon, but a fleet
 # that learned of it together does not move in step.
-MOVE_HOME_MS = (300, 1500)
+MOVE_DELAY_MS = (300, 1500)
 # Long enough for the peer's own dial (one beat and a round trip), short
 # beside an election.
-STRANGER_MS = 400
+UNKNOWN_PEER_DIAL_MS = 400
 
 
 class Overlay:
@@ -42,17 +42,17 @@
         "domain",
         "control",
         "seeds",
-        "given",
+        "configured",
         "controls",
         "domains",
-        "listed",
+        "control_hosts",
         "rng",
         "uplinks",
         "current",
         "retry_at_ms",
         "failures",
         "unlinked_ms",
-        "home_at_ms",
+        "return_at_ms",
     )
 
     def __init__(
@@ -69,17 +69,17 @@
         self.domain = domain
         self.control = control
         self.seeds = seeds
-        self.given = dict(controls)
+        self.configured = dict(controls)
         self.controls = dict(controls)
         self.domains: dict[str, str] = {}
-        self.listed = messages.ControlHosts(0, [])
+        self.control_hosts = messages.ControlHosts(0, [])
         self.rng = rng
         self.uplinks = self._uplinks()
         self.current = 0
         self.retry_at_ms: dict[str, int] = {}
         self.failures: dict[str, int] = {}
         self.unlinked_ms: dict[str, int] = {}
-        self.home_at_ms = 0
+        self.return_at_ms = 0
 
     @property
     def is_seed(self) -> bool:
@@ -90,8 +90,8 @@
         if self.control:
             return []
         ranked = hashing.rank(self.me, self.controls)
-        near = [n for n in ranked if self.domains.get(n) == self.domain]
-        controls = near + [n for n in ranked if n not in near]
+        same_domain = [n for n in ranked if self.domains.get(n) == self.domain]
+        controls = same_domain + [n for n in ranked if n not in same_domain]
         if self.is_seed:
             return controls
         return list(hashing.rank(self.me, self.seeds)) + controls
@@ -109,48 +109,50 @@
 
     # Control hosts that the settings do not name
 
-    def rejoin(self, controls: dict[str, str]) -> None:
+    def set_configured(self, controls: dict[str, str]) -> None:
         """Take the control hosts of changed settings."""
-        self.given = dict(controls)
+        self.configured = dict(controls)
         self._set_controls(controls | self.controls)
 
-    def meet(self, hello: messages.Hello) -> None:
+    def on_hello(self, hello: messages.Hello) -> None:
         """Note a control process that greeted this one."""
         if not hello.control or hello.host == self.me or not hello.address:
             return
         self.domains[hello.host] = hello.domain or ""
         self._set_controls(self.controls | {hello.host: hello.address})
 
-    def learn(self, listed: messages.ControlHosts, now_ms: int) -> bool:
+    def update_controls(
+        self, control_hosts: messages.ControlHosts, now_ms: int
+    ) -> bool:
         """Take a list of control hosts; return whether it is news.
 
         Hosts that the settings name stay known: if all that are listed are
         gone, they are the way back.
         """
-        if listed.number <= self.listed.number:
+        if control_hosts.number <= self.control_hosts.number:
             return False
-        self.listed = listed
-        hosts = [h for h in listed.hosts if h.name != self.me]
-        found = {h.name: h.address for h in hosts if h.address}
+        self.control_hosts = control_hosts
+        hosts = [h for h in control_hosts.hosts if h.name != self.me]
+        addresses = {h.name: h.address for h in hosts if h.address}
         self.domains.update({h.name: h.domain or "" for h in hosts})
-        self._set_controls(self.given | found)
+        self._set_controls(self.configured | addresses)
         if self.uplinks and self.uplink != self.uplinks[0]:
-            pause_ms = int(self.rng.uniform(*MOVE_HOME_MS))
-            self.home_at_ms = min(
-                self.home_at_ms or now_ms + pause_ms, now_ms + pause_ms
+            pause_ms = int(self.rng.uniform(*MOVE_DELAY_MS))
+            self.return_at_ms = min(
+                self.return_at_ms or now_ms + pause_ms, now_ms + pause_ms
             )
         return True
 
     def _set_controls(self, controls: dict[str, str]) -> None:
-        before = self.uplink
+        old_uplink = self.uplink
         self.controls = controls
         self.uplinks = self._uplinks()
-        if before in self.uplinks:
-            self.current = self.uplinks.index(before)
+        if old_uplink in self.uplinks:
+            self.current = self.uplinks.index(old_uplink)
 
     # Links
 
-    def wanted(self, *, spare: bool, now_ms: int = 0) -> list[str]:
+    def wanted(self, *, extra: bool, now_ms: int = 0) -> list[str]:
         """Return the peers to keep a link to.
 
         Args:
@@ -166,7 +168,7 @@
             wanted |= self._wanted_controls(now_ms)
         if self.is_seed:
             wanted |= {name for name in self.seeds if name > self.me}
-        if spare:
+        if extra:
             wanted |= set(self.seeds or self.controls)
         wanted.discard(self.me)
         return sorted(wanted)
@@ -181,7 +183,7 @@
         wanted = set()
         for name in self.controls:
             since_ms = self.unlinked_ms.setdefault(name, now_ms)
-            if name > self.me or now_ms - since_ms >= STRANGER_MS:
+            if name > self.me or now_ms - since_ms >= UNKNOWN_PEER_DIAL_MS:
                 wanted.add(name)
         return wanted
 
@@ -201,7 +203,7 @@
         self.unlinked_ms[host] = now_ms
         count = self.failures.get(host, 0) + 1
         self.failures[host] = count
-        pause = min(RETRY_MS << min(count - 1, 4), RETRY_MAX_MS)
+        pause = min(RETRY_BASE_MS << min(count - 1, 4), RETRY_MAX_MS)
         pause = max(int(pause * self.rng.uniform(0.5, 1.5)), retry_after_ms)
         self.retry_at_ms[host] = now_ms + pause
         if host == self.uplink and not retry_after_ms:
@@ -212,9 +214,9 @@
         self.failures.pop(host, None)
         self.retry_at_ms.pop(host, None)
         spread = self.rng.uniform(1.0, 2.0)
-        self.home_at_ms = now_ms + int(HOME_AGAIN_MS * spread)
+        self.return_at_ms = now_ms + int(RETURN_DELAY_MS * spread)
 
-    def go_home(self, now_ms: int) -> str:
+    def return_to_preferred(self, now_ms: int) -> str:
         """Return to the first choice after a while on another.
 
         A domain whose seeds were all away leaves its proxies on control
@@ -224,10 +226,10 @@
         Returns:
             The uplink that was given up, empty if none was.
         """
-        away = self.uplinks and self.current % len(self.uplinks) != 0
-        if not away or now_ms < self.home_at_ms:
+        on_fallback = self.uplinks and self.current % len(self.uplinks) != 0
+        if not on_fallback or now_ms < self.return_at_ms:
             return ""
         old = self.uplink
         self.current = 0
-        self.home_at_ms = now_ms + HOME_AGAIN_MS
+        self.return_at_ms = now_ms + RETURN_DELAY_MS
         return old
--- a/libs/fleet/src/trefoil_fleet/records.py
+++ b/libs/fleet/src/trefoil_fleet/records.py
@@ -5,12 +5,12 @@
 from trefoil_model import hashing
 from trefoil_wire import messages
 
-SUSPECT_MS = 3000
-FORGET_MS = 60_000
-RECENT_MS = 30_000
+SUSPECT_TIMEOUT_MS = 3000
+ABSENT_RETENTION_MS = 60_000
+RECENT_CHANGE_MS = 30_000
 
 State = messages.HostState
-GONE = (State.LEFT, State.DEAD)
+ABSENT_STATES = (State.LEFT, State.DEAD)
 
 
 def version_of(record: messages.HostRecord) -> tuple[int, int, int]:
@@ -27,7 +27,7 @@
 
     Suspicion is left out: it lasts seconds and settles by itself.
     """
-    if record.state in GONE:
+    if record.state in ABSENT_STATES:
         return 0
     text = f"{record.host}\0{record.incarnation}\0{record.sequence}"
     return hashing.hash64(text.encode())
@@ -77,7 +77,9 @@
 
     def present(self) -> list[messages.HostRecord]:
         """Return the records of hosts that are not gone."""
-        return [r for r in self.by_host.values() if r.state not in GONE]
+        return [
+            r for r in self.by_host.values() if r.state not in ABSENT_STATES
+        ]
 
     def mark(
         self, host: str, state: int, now_ms: int
@@ -99,10 +101,12 @@
         changed = []
         for host, record in list(self.by_host.items()):
             age_ms = now_ms - self.changed_ms[host]
-            if record.state == State.SUSPECT and age_ms >= SUSPECT_MS:
+            if record.state == State.SUSPECT and age_ms >= SUSPECT_TIMEOUT_MS:
                 self.mark(host, State.DEAD, now_ms)
                 changed.append(host)
-            elif record.state in GONE and age_ms >= FORGET_MS:
+            elif (
+                record.state in ABSENT_STATES and age_ms >= ABSENT_RETENTION_MS
+            ):
                 del self.by_host[host]
                 del self.changed_ms[host]
         return changed
@@ -116,7 +120,7 @@
                 messages.RecordVersion(
                     r.host, r.incarnation, r.sequence, r.state
                 )
-                for r in self._wanted(now_ms, recent_only)
+                for r in self._selected(now_ms, recent_only)
             ],
             reply_wanted=reply_wanted,
             whole=not recent_only,
@@ -133,26 +137,26 @@
         theirs = {
             v.host: (v.incarnation, v.sequence, v.state) for v in versions
         }
-        none = (-1, -1, -1)
-        found = [
+        unknown = (-1, -1, -1)
+        newer = [
             self.by_host[host]
             for host, version in theirs.items()
             if host in self.by_host
             and version_of(self.by_host[host]) > version
         ]
-        found.extend(
+        newer.extend(
             record
-            for record in self._wanted(now_ms, recent_only)
-            if theirs.get(record.host, none) == none
+            for record in self._selected(now_ms, recent_only)
+            if theirs.get(record.host, unknown) == unknown
         )
-        return found
+        return newer
 
-    def _wanted(
+    def _selected(
         self, now_ms: int, recent_only: bool
     ) -> list[messages.HostRecord]:
         if not recent_only:
             return list(self.by_host.values())
-        since = now_ms - RECENT_MS
+        since = now_ms - RECENT_CHANGE_MS
         return [
             record
             for host, record in self.by_host.items()
--- a/libs/fleet/src/trefoil_fleet/reports.py
+++ b/libs/fleet/src/trefoil_fleet/reports.py
@@ -8,15 +8,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Heard:
+class ReceivedReport:
     """A report and when it arrived."""
 
     report: messages.Report
-    at_ms: int
+    received_ms: int
 
     def age_ms(self, now_ms: int) -> int:
         """Return how old the report's fact is."""
-        return self.report.age_ms + now_ms - self.at_ms
+        return self.report.age_ms + now_ms - self.received_ms
 
 
 class Reports:
@@ -25,23 +25,23 @@
     __slots__ = ("by_host", "pending")
 
     def __init__(self) -> None:
-        self.by_host: dict[str, Heard] = {}
+        self.by_host: dict[str, ReceivedReport] = {}
         self.pending: dict[str, int] = {}
 
-    def hear(self, report: messages.Report, now_ms: int) -> bool:
+    def add(self, report: messages.Report, now_ms: int) -> bool:
         """Take a report unless a newer one is known."""
         known = self.by_host.get(report.host)
         if known is not None:
             old = known.report
-            newer = (report.incarnation, report.revision)
-            if newer < (old.incarnation, old.revision):
+            version = (report.incarnation, report.revision)
+            if version < (old.incarnation, old.revision):
                 return False
-            same = newer == (old.incarnation, old.revision)
+            same = version == (old.incarnation, old.revision)
             if same and report.rejected == old.rejected:
-                fresher = report.age_ms < known.age_ms(now_ms)
-                if not fresher:
+                more_recent = report.age_ms < known.age_ms(now_ms)
+                if not more_recent:
                     return False
-        self.by_host[report.host] = Heard(report, now_ms)
+        self.by_host[report.host] = ReceivedReport(report, now_ms)
         self.pending[report.host] = now_ms
         return True
 
@@ -49,31 +49,32 @@
         """Return the reports to pass on, aged, and clear them."""
         due = []
         for host in self.pending:
-            heard = self.by_host.get(host)
-            if heard is not None:
-                due.append(aged(heard, now_ms))
+            received = self.by_host.get(host)
+            if received is not None:
+                due.append(with_current_age(received, now_ms))
         self.pending = {}
         return due
 
-    def pass_again(self) -> None:
+    def resend_all(self) -> None:
         """Pass every known report on once more."""
         self.pending = {
-            host: heard.at_ms for host, heard in self.by_host.items()
+            host: received.received_ms
+            for host, received in self.by_host.items()
         }
 
-    def forget(self, host: str) -> None:
+    def remove(self, host: str) -> None:
         """Drop a host that is gone."""
         self.by_host.pop(host, None)
         self.pending.pop(host, None)
 
 
-def aged(heard: Heard, now_ms: int) -> messages.Report:
+def with_current_age(received: ReceivedReport, now_ms: int) -> messages.Report:
     """Return a report with the time that it spent here added to its age."""
-    report = heard.report
+    report = received.report
     return messages.Report(
         host=report.host,
         incarnation=report.incarnation,
         revision=report.revision,
         rejected=report.rejected,
-        age_ms=heard.age_ms(now_ms),
+        age_ms=received.age_ms(now_ms),
     )
--- a/libs/fleet/tests/test_floor.py
+++ b/libs/fleet/tests/test_floor.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "proved", "revision"),
+    ("confirmed", "proved", "revision"),
     [
         ({"c1": 7}, False, 0),
         ({"c1": 7, "c2": 9}, True, 9),
@@ -16,8 +16,8 @@
         ({"c1": 7, "c2": -1}, False, 0),
     ],
 )
-def test_voters_vouch_for_each_other(
-    words: dict[str, int], proved: bool, revision: int
+def test_floor_needs_confirmations_of_enough_voters(
+    confirmed: dict[str, int], proved: bool, revision: int
 ) -> None:
     """A proxy restarts while no leader is known.
 
@@ -25,13 +25,13 @@
     it; one alone may be behind, and a stranger may know anything.
     """
     floor = floors.Floor("p1", [])
-    for host, word in words.items():
-        floor.hear(host, word, False, VOTERS)
+    for host, host_revision in confirmed.items():
+        floor.add_reply(host, host_revision, False, VOTERS)
     assert (floor.proved, floor.revision) == (proved, revision)
 
 
-def test_the_leaders_word_is_enough() -> None:
+def test_leader_reply_alone_proves_the_floor() -> None:
     floor = floors.Floor("p1", [])
-    floor.hear("c1", 5, True)
+    floor.add_reply("c1", 5, True)
     assert floor.reached_by(5)
     assert not floor.reached_by(4)
--- a/libs/fleet/tests/test_node.py
+++ b/libs/fleet/tests/test_node.py
@@ -17,7 +17,7 @@
 CONTROLS = {"c1": "c1:1"}
 SEEDS = {"s1": "s1:1", "s2": "s2:1", "s3": "s3:1"}
 HOSTS = ["s1", "s2", "s3", "p1", "p2"]
-EVERYBODY = ["c1"] + HOSTS
+ALL_NAMES = ["c1"] + HOSTS
 STEP_MS = 100
 MAX_MESSAGES = 400
 
@@ -28,30 +28,30 @@
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(seed)
         self.now_ms = 0
-        self.lives = dict.fromkeys(EVERYBODY, 0)
+        self.incarnations = dict.fromkeys(ALL_NAMES, 0)
         self.nodes: dict[str, nodes.Node] = {}
         self.in_force: dict[str, int] = {}
         self.links: dict[frozenset[str], int] = {}
-        self.wire: list[tuple[str, str, int, typing.Any]] = []
+        self.in_transit: list[tuple[str, str, int, typing.Any]] = []
         self.links_made = 0
         self.cut: set[str] = set()
         self.down: set[str] = set()
         self.items = item_store.Items()
         self.revision = 0
         self.bytes = 0
-        for name in EVERYBODY:
+        for name in ALL_NAMES:
             self.boot(name)
 
     def boot(self, name: str) -> None:
         """Start a process with an empty memory."""
-        self.lives[name] += 1
+        self.incarnations[name] += 1
         control = name in CONTROLS
         record = messages.HostRecord(
             host=name,
             domain="d",
             region="r",
             address=f"{name}:1",
-            incarnation=self.lives[name],
+            incarnation=self.incarnations[name],
             sequence=1,
             state=messages.HostState.ALIVE,
             targets=[],
@@ -85,21 +85,21 @@
         node = self.nodes["c1"]
         self.perform("c1", node.publish(self.items, self.now_ms))
 
-    def reachable(self, one: str, other: str) -> bool:
+    def reachable(self, first: str, second: str) -> bool:
         """Tell whether two processes can speak."""
-        if {one, other} & self.down:
+        if {first, second} & self.down:
             return False
-        return (one in self.cut) == (other in self.cut)
+        return (first in self.cut) == (second in self.cut)
 
-    def perform(self, name: str, found: list[typing.Any]) -> None:
+    def perform(self, name: str, emitted: list[typing.Any]) -> None:
         """Carry out a process's effects."""
-        for effect in found:
+        for effect in emitted:
             match effect:
                 case common.Send():
                     self._send(name, effect)
                 case effects.Dial():
                     self._dial(name, effect.host)
-                case effects.HangUp():
+                case effects.Disconnect():
                     pair = frozenset((name, effect.host))
                     if pair in self.links:
                         self.break_link(pair)
@@ -107,7 +107,8 @@
                     up = self.reachable(name, effect.host)
                     node = self.nodes[name]
                     self.perform(
-                        name, node.probed(effect.host, up, self.now_ms)
+                        name,
+                        node.on_probe_result(effect.host, up, self.now_ms),
                     )
                 case effects.PutInForce():
                     revision = effect.items.revision
@@ -117,15 +118,17 @@
                     node = self.nodes[name]
                     self.perform(
                         name,
-                        node.floor_known(
+                        node.send_leader_confirmation(
                             effect.nonce, self.revision, self.now_ms
                         ),
                     )
 
     def _send(self, name: str, effect: common.Send) -> None:
-        number = self.links.get(frozenset((name, effect.to)))
-        if number is not None:
-            self.wire.append((name, effect.to, number, effect.message))
+        link_number = self.links.get(frozenset((name, effect.to)))
+        if link_number is not None:
+            self.in_transit.append(
+                (name, effect.to, link_number, effect.message)
+            )
 
     def _dial(self, name: str, host: str) -> None:
         if not self.reachable(name, host):
@@ -133,13 +136,13 @@
             return
         self.links_made += 1
         self.links[frozenset((name, host))] = self.links_made
-        for one, other, served in ((host, name, True), (name, host, False)):
-            hello = self.nodes[other].hello()
+        for first, second, served in ((host, name, True), (name, host, False)):
+            hello = self.nodes[second].hello()
             self.perform(
-                one,
-                self.nodes[one].linked(
-                    other,
-                    control=other in CONTROLS,
+                first,
+                self.nodes[first].linked(
+                    second,
+                    control=second in CONTROLS,
                     served=served,
                     revision=hello.revision,
                     now_ms=self.now_ms,
@@ -149,36 +152,36 @@
     def break_link(self, pair: frozenset[str]) -> None:
         """Break a link on both sides."""
         del self.links[pair]
-        for one, other in (tuple(pair), tuple(pair)[::-1]):
-            if one not in self.down:
-                node = self.nodes[one]
-                self.perform(one, node.unlinked(other, self.now_ms))
+        for first, second in (tuple(pair), tuple(pair)[::-1]):
+            if first not in self.down:
+                node = self.nodes[first]
+                self.perform(first, node.unlinked(second, self.now_ms))
 
     def deliver(self, at: int, keep: bool) -> None:
         """Let one message arrive."""
-        if not self.wire:
+        if not self.in_transit:
             return
-        at %= len(self.wire)
-        source, target, number, message = self.wire[at]
+        at %= len(self.in_transit)
+        source, target, link_number, message = self.in_transit[at]
         if not keep:
-            del self.wire[at]
-        alive = self.links.get(frozenset((source, target))) == number
+            del self.in_transit[at]
+        alive = self.links.get(frozenset((source, target))) == link_number
         if alive and self.reachable(source, target):
             node = self.nodes[target]
-            found = node.receive(source, message, self.now_ms)
-            self.perform(target, found)
+            emitted = node.receive(source, message, self.now_ms)
+            self.perform(target, emitted)
 
     def run(self, for_ms: int) -> None:
         """Let time pass; messages arrive in order."""
         until_ms = self.now_ms + for_ms
         while self.now_ms < until_ms:
             self.now_ms += STEP_MS
-            for name in EVERYBODY:
+            for name in ALL_NAMES:
                 if name not in self.down:
-                    found = self.nodes[name].tick(self.now_ms)
-                    self.perform(name, found)
+                    emitted = self.nodes[name].tick(self.now_ms)
+                    self.perform(name, emitted)
             for _ in range(MAX_MESSAGES):
-                if not self.wire:
+                if not self.in_transit:
                     break
                 self.deliver(0, False)
 
@@ -196,7 +199,7 @@
     assert net.in_force == dict.fromkeys(HOSTS, 1) | {"c1": 1}
 
 
-def test_a_cut_off_domain_keeps_what_it_has_and_catches_up() -> None:
+def test_cut_off_domain_keeps_its_revision_and_catches_up() -> None:
     net = Net()
     net.run(2000)
     net.publish()
@@ -210,7 +213,7 @@
     assert {net.in_force[name] for name in HOSTS} == {2}
 
 
-def test_a_restart_in_a_cut_off_domain_waits_for_the_seeds_word() -> None:
+def test_restart_in_a_cut_off_domain_uses_seed_confirmations() -> None:
     """A proxy restarts while its domain is cut off from control.
 
     The leader can't tell it what was agreed. Two seeds that have lived on
@@ -228,7 +231,7 @@
     assert node.config.in_force.revision == 1
 
 
-def test_restarted_seeds_vouch_for_nothing() -> None:
+def test_restarted_seeds_confirm_no_revision() -> None:
     """Two of three seeds restart in a cut-off domain, then a proxy does.
 
     One seed with an older revision would answer first and the proxy would
@@ -249,7 +252,7 @@
     assert net.nodes["p1"].config.in_force.revision == 1
 
 
-def test_a_restarted_proxy_does_not_take_a_stale_seeds_word() -> None:
+def test_restarted_proxy_rejects_a_single_stale_seed() -> None:
     """A seed misses a revision, then a proxy that has it restarts beside it.
 
     Both are on the same side of a cut. The seed has lived on, so its word
@@ -271,7 +274,7 @@
     assert not net.nodes["p1"].ready
 
 
-def test_an_older_whole_does_not_replace_what_is_held() -> None:
+def test_older_snapshot_does_not_replace_a_newer_revision() -> None:
     """An update crosses on its way and arrives after a newer one."""
     net = Net()
     net.run(2000)
@@ -284,7 +287,7 @@
     assert node.config.held.revision == 2
 
 
-def test_a_seed_alone_puts_nothing_in_force_at_once() -> None:
+def test_lone_seed_does_not_put_a_revision_in_force_at_once() -> None:
     """A seed gets a revision and is cut off before it could pass it on.
 
     If it put it in force, and restarted, its domain's other seeds would
@@ -300,23 +303,23 @@
     holder = next(
         name for name in SEEDS if frozenset((name, "c1")) in net.links
     )
-    while net.wire:
+    while net.in_transit:
         net.deliver(0, False)
     assert net.nodes[holder].config.held.revision == 2
     assert net.nodes[holder].config.in_force.revision == 1
 
 
-def test_a_dead_hosts_record_goes_everywhere() -> None:
+def test_death_of_a_host_is_known_everywhere() -> None:
     net = Net()
     net.run(3000)
     net.crash("p1")
     net.run(6000)
-    for name in EVERYBODY:
+    for name in ALL_NAMES:
         if name != "p1":
             assert "p1" not in net.records_at(name)
 
 
-def test_a_seed_and_its_proxies_dying_together_are_found() -> None:
+def test_probes_detect_a_seed_and_its_proxies_dying_together() -> None:
     """A rack goes: a seed and the proxies that it watched.
 
     No link is left to notice the proxies; the probes find them.
@@ -337,11 +340,11 @@
     node.members._suspect("p2", net.now_ms)
     net.perform("s1", node._flush())
     net.run(6000)
-    for name in EVERYBODY:
+    for name in ALL_NAMES:
         assert "p2" in net.records_at(name)
 
 
-def test_a_control_host_on_the_far_side_blames_itself() -> None:
+def test_isolated_control_host_declares_no_host_dead() -> None:
     """A control host is cut off alone for a long time.
 
     It reaches nobody. If it declared all dead, that would flood the fleet
@@ -356,11 +359,11 @@
     assert [r.host for r in records if r.state == dead] == []
     net.cut = set()
     net.run(8000)
-    for name in EVERYBODY:
+    for name in ALL_NAMES:
         assert set(net.records_at(name)) == set(HOSTS)
 
 
-def test_a_healed_cut_takes_no_host_out_of_routing() -> None:
+def test_healed_partition_removes_no_host_from_routing() -> None:
     """Control hosts hear each other and declare a cut-off domain dead.
 
     The word reaches the domain when the cut heals. Its proxies see each
@@ -379,7 +382,7 @@
     )
     assert "p2" in net.records_at("p1")
     net.run(8000)
-    for name in EVERYBODY:
+    for name in ALL_NAMES:
         assert set(net.records_at(name)) == set(HOSTS)
 
 
@@ -407,40 +410,40 @@
     return node
 
 
-def told_of_records(found: list[typing.Any]) -> list[str]:
+def peers_sent_records(emitted: list[typing.Any]) -> list[str]:
     """Return whom effects tell of records."""
-    sends = [effect for effect in found if isinstance(effect, common.Send)]
+    sends = [effect for effect in emitted if isinstance(effect, common.Send)]
     kind = messages.RecordsDelta
     return [send.to for send in sends if isinstance(send.message, kind)]
 
 
-def test_news_goes_once_to_each_control_host() -> None:
+def test_record_update_is_sent_once_to_each_control_host() -> None:
     """Linked each to each, they passed it on to each other again."""
     node = linked_control(["c1", "c2", "c3"], ["p1", "p2"])
     news = messages.HostRecord(
         "p9", "d", "r", "p9:1", 1, 1, messages.HostState.ALIVE, []
     )
-    found = node.receive("c1", messages.RecordsDelta([news]), 100)
-    assert told_of_records(found) == ["p1", "p2"]
+    emitted = node.receive("c1", messages.RecordsDelta([news]), 100)
+    assert peers_sent_records(emitted) == ["p1", "p2"]
     newer = record_store.with_state(news, messages.HostState.LEFT)
     newer.sequence = 2
-    found = node.receive("p1", messages.RecordsDelta([newer]), 300)
-    assert told_of_records(found) == ["c1", "c2", "c3", "p2"]
+    emitted = node.receive("p1", messages.RecordsDelta([newer]), 300)
+    assert peers_sent_records(emitted) == ["c1", "c2", "c3", "p2"]
 
 
-def test_a_burst_of_news_goes_in_one_message_a_peer() -> None:
+def test_burst_of_record_updates_is_sent_in_one_message() -> None:
     """Each host of a fleet that starts has news for each other one."""
     node = linked_control(["c1"], ["p1", "p2"])
-    found = []
+    emitted = []
     for number in range(30):
         news = messages.HostRecord(
             f"h{number}", "d", "r", "h:1", 1, 1, messages.HostState.ALIVE, []
         )
-        found += node.receive("p1", messages.RecordsDelta([news]), 100)
-    assert told_of_records(found) == ["c1", "p2"]
-    assert told_of_records(node.tick(150)) == []
+        emitted += node.receive("p1", messages.RecordsDelta([news]), 100)
+    assert peers_sent_records(emitted) == ["c1", "p2"]
+    assert peers_sent_records(node.tick(150)) == []
     later = node.tick(200)
-    assert told_of_records(later) == ["c1", "p2"]
+    assert peers_sent_records(later) == ["c1", "p2"]
     (delta,) = [e.message for e in later if getattr(e, "to", "") == "p2"][:1]
     assert len(delta.records) == 29
 
@@ -484,7 +487,7 @@
     assert net.nodes["p1"].config.held.revision == 1
 
 
-def test_reports_go_to_the_leader_and_to_the_next_one() -> None:
+def test_reports_are_resent_to_a_new_leader() -> None:
     """The leader dies; the next one must know what is in force where.
 
     A report that was passed to the first is passed again to the next, not
@@ -513,22 +516,22 @@
         node.linked(
             name, control=name != "p1", served=True, revision=0, now_ms=0
         )
-    told = []
+    sent_by_step = []
     for at_ms, leader in ((1000, "c2"), (2000, "c3"), (3000, "c1")):
         if at_ms == 1000:
             report = messages.Report("p1", 1, 7, "", 0)
             node.receive("p1", messages.Reports([report]), 900)
-        node.follow(leader)
+        node.set_leader(leader)
         sent = [
             (effect.to, effect.message.reports[0].revision)
             for effect in node.tick(at_ms)
             if isinstance(getattr(effect, "message", 0), messages.Reports)
         ]
-        told.append(sent)
-    assert told == [[("c2", 7)], [("c3", 7)], []]
+        sent_by_step.append(sent)
+    assert sent_by_step == [[("c2", 7)], [("c3", 7)], []]
 
 
-def test_a_herd_is_held_back_at_the_giver() -> None:
+def test_serving_process_limits_joins() -> None:
     net = Net()
     node = net.nodes["s1"]
     waits = [
@@ -546,43 +549,43 @@
     hosts = st.sampled_from(HOSTS)
 
     @stateful.initialize(seed=st.integers(0, 1 << 30))
-    def begin(self, seed: int) -> None:
+    def start(self, seed: int) -> None:
         self.net = Net(seed)
         self.net.run(2000)
         self.fresh: set[str] = set()
 
     @stateful.rule()
-    def a_new_revision(self) -> None:
+    def publish_revision(self) -> None:
         self.net.publish()
 
     @stateful.rule(at=st.integers(0, 99), keep=st.booleans())
-    def a_message_arrives(self, at: int, keep: bool) -> None:
+    def deliver_message(self, at: int, keep: bool) -> None:
         self.net.deliver(at, keep)
 
     @stateful.rule(at=st.integers(0, 99))
-    def a_message_is_lost(self, at: int) -> None:
-        if self.net.wire:
-            del self.net.wire[at % len(self.net.wire)]
+    def drop_message(self, at: int) -> None:
+        if self.net.in_transit:
+            del self.net.in_transit[at % len(self.net.in_transit)]
 
     @stateful.rule(for_ms=st.sampled_from([100, 1500, 6000]))
-    def time_passes(self, for_ms: int) -> None:
+    def advance_time(self, for_ms: int) -> None:
         self.net.run(for_ms)
 
     @stateful.rule(name=hosts)
-    def a_proxy_restarts(self, name: str) -> None:
+    def restart_process(self, name: str) -> None:
         self.net.crash(name)
         self.net.boot(name)
 
-    @stateful.rule(whole=st.booleans(), name=hosts)
-    def a_cut(self, whole: bool, name: str) -> None:
-        self.net.cut = set(HOSTS) if whole else {name}
+    @stateful.rule(all_hosts=st.booleans(), name=hosts)
+    def cut_off(self, all_hosts: bool, name: str) -> None:
+        self.net.cut = set(HOSTS) if all_hosts else {name}
 
     @stateful.rule()
-    def the_cut_heals(self) -> None:
+    def restore_network(self) -> None:
         self.net.cut = set()
 
     @stateful.rule(name=hosts)
-    def a_link_breaks(self, name: str) -> None:
+    def break_one_link(self, name: str) -> None:
         for pair in [pair for pair in self.net.links if name in pair][:1]:
             self.net.break_link(pair)
 
--- a/libs/moves/src/trefoil_moves/rulings.py
+++ b/libs/moves/src/trefoil_moves/rulings.py
@@ -62,7 +62,7 @@
             return refused
     candidate = state.items.copy()
     _put_configuration(candidate, index, body)
-    found = check.problems(candidate) + _move_problems(state, candidate)
+    found = check.find_problems(candidate) + _move_problems(state, candidate)
     if found:
         return Ruling(
             Outcome.NOT_RUN, "; ".join(found), messages.Cause.INVALID
@@ -102,7 +102,7 @@
         (
             item.revision
             for item in items.by_key.values()
-            if item.key.startswith(item_store.OF_DOCUMENT)
+            if item.key.startswith(item_store.DOCUMENT_PREFIXES)
         ),
         default=0,
     )
@@ -127,7 +127,7 @@
     names = {service.name for service in body.services}
     for key, item in list(items.by_key.items()):
         kind, _, name = key.partition("/")
-        owned = kind + "/" in item_store.OF_DOCUMENT
+        owned = kind + "/" in item_store.DOCUMENT_PREFIXES
         orphan = kind + "/" == item_store.SHARES and name not in names
         if not item.deleted and (orphan or (owned and key not in wanted)):
             items.delete(index, key)
--- a/libs/requests/src/trefoil_requests/routing.py
+++ b/libs/requests/src/trefoil_requests/routing.py
@@ -195,7 +195,7 @@
         for record in records.present():
             for target in record.targets or ():
                 hosts.setdefault(target.service_name, set()).add(record.host)
-                if table is not None and table.excluded.cover(record):
+                if table is not None and table.excluded.contains(record):
                     continue
                 if target.state != messages.TargetState.DRAINING:
                     self._add(record, target, now_ms)
