--- a/libs/fleet/src/trefoil_fleet/__init__.py
+++ b/libs/fleet/src/trefoil_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet: who is there, and the configuration that is in force."""
+"""The fleet core: host membership and distribution of the configuration."""
--- a/libs/fleet/src/trefoil_fleet/check.py
+++ b/libs/fleet/src/trefoil_fleet/check.py
@@ -1,4 +1,4 @@
-"""The check of a whole configuration before it is put in force."""
+"""Validation of a whole configuration before it is put in force."""
 
 from trefoil_model import errors
 from trefoil_wire import messages
@@ -6,17 +6,20 @@
 
 from . import items as item_store
 
-# A caller whose connection waits this long is gone; a longer timeout is a
-# slip of the unit.
+# No caller keeps its connection open for longer than this. A larger timeout
+# was most likely given in the wrong unit.
 MAX_TIMEOUT_MS = 600_000
 
 
 def find_problems(items: item_store.Items) -> list[str]:
     """Return every reason why a configuration must not be put in force.
 
-    A route that points at a service, version or resource that is not there
-    would send callers' requests nowhere; a proxy keeps the configuration it
-    has rather than apply part of such a one.
+    A route to a service, version or resource that does not exist has no
+    target for its requests. A proxy rejects a configuration with such a
+    route as a whole, and keeps its current one.
+
+    Returns:
+        One text per problem, empty if the configuration is valid.
     """
     try:
         services = {s.name: s for s in items.all(item_store.SERVICE)}
@@ -66,7 +69,7 @@
 
 
 def _overlap_problems(routes: list[messages.Route]) -> list[str]:
-    """Return the routes of which one would hide the other."""
+    """Return the pairs of routes that match the same requests."""
     problems = []
     seen: dict[tuple[str, str], list[messages.Route]] = {}
     for route in routes:
--- a/libs/fleet/src/trefoil_fleet/effects.py
+++ b/libs/fleet/src/trefoil_fleet/effects.py
@@ -1,4 +1,4 @@
-"""What the fleet core asks its process to do."""
+"""Effects that the fleet core requests from its process."""
 
 import dataclasses
 
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Probe:
-    """Connect to a peer once and tell whether it answered."""
+    """Connect to a peer once and report whether it answered."""
 
     host: str
     address: str
@@ -30,21 +30,21 @@
 
 @dataclasses.dataclass(slots=True)
 class PutInForce:
-    """Swap the configuration that requests are served by, in one step."""
+    """Replace the configuration that serves requests, in one step."""
 
     items: item_store.Items
 
 
 @dataclasses.dataclass(slots=True)
 class RecordsChanged:
-    """Hosts' records changed; routing must look again."""
+    """Records of hosts changed; routing must be computed again."""
 
     hosts: list[str]
 
 
 @dataclasses.dataclass(slots=True)
 class AskFloor:
-    """Ask the agreement for the newest revision (control hosts only)."""
+    """Read the newest agreed revision through Raft (control hosts only)."""
 
     nonce: int
     host: str
--- a/libs/fleet/src/trefoil_fleet/exclusions.py
+++ b/libs/fleet/src/trefoil_fleet/exclusions.py
@@ -1,4 +1,4 @@
-"""Which hosts' targets get no requests by the operators' word."""
+"""Hosts whose targets operators have excluded from routing."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class Exclusions:
-    """Hosts that are drained and failure domains that are evacuated.
+    """The drained hosts and the evacuated failure domains.
 
     Args:
         hosts: Names of the drained hosts.
@@ -23,7 +23,7 @@
 
     @classmethod
     def from_items(cls, items: item_store.Items) -> typing.Self:
-        """Read them from a configuration."""
+        """Build the exclusions from a configuration."""
         drains = items.all(item_store.DRAIN)
         evacuations = items.all(item_store.EVACUATION)
         return cls(
@@ -32,5 +32,5 @@
         )
 
     def contains(self, record: messages.HostRecord) -> bool:
-        """Tell whether the targets of a host get no requests."""
+        """Return whether the targets of a host get no requests."""
         return record.host in self.hosts or record.domain in self.domains
