--- a/libs/fleet/src/trefoil_fleet/floor.py
+++ b/libs/fleet/src/trefoil_fleet/floor.py
@@ -1,44 +1,46 @@
-"""The floor: the revision a restarted proxy must reach before it serves.
-
-A proxy has no disk, so after a restart it does not know what it had in
-force. Two proofs allow it to serve:
-
-* the leader's word: the newest agreed revision, read through a quorum after
-  the proxy started, is at least everything that was ever in force;
-* in a failure domain that is cut off, the word of enough of its seeds. A
-  seed puts a revision in force, and passes it on, only once a majority of
-  the domain's seeds hold it; so among any ``n - majority + 1`` seeds that
-  have not restarted since, one holds all that was in force here.
-
-A seed that restarted itself vouches for nothing until it has its own proof.
-
-Without seeds the voters of the agreement vouch in the same way: what was
-acknowledged is on the disks of a majority, so among any ``n - majority + 1``
-voters one has it in its log. That serves callers while no leader is known,
-or while the control hosts are cut in two halves.
+"""The floor: the minimum revision of a restarted proxy.
+
+A proxy keeps nothing on disk, so after a restart it does not know which
+revision it had in force. It may serve only at or above the floor, which is
+proved in one of two ways:
+
+* by the leader's reply: the newest agreed revision, read through a quorum
+  after the proxy started, is at least as new as any that was ever in force;
+* in a failure domain that is cut off, by the replies of enough of its seeds.
+  A seed puts a revision in force, and sends it on, only once a majority of
+  the domain's seeds hold it. So among any ``n - majority + 1`` seeds that
+  have not restarted since, one holds every revision that was in force here.
+
+A seed that restarted confirms no revision until its own floor is proved.
+
+In a fleet without seeds the Raft voters confirm in the same way: an
+acknowledged entry is on the disks of a majority, so among any
+``n - majority + 1`` voters one has it in its log. This lets proxies serve
+callers while no leader is known, or while the control hosts are partitioned
+into two halves.
 """
 
 import collections.abc
 
 
 def confirmations_needed(count: int) -> int:
-    """Return how many of some hosts must vouch without the leader.
+    """Return how many hosts must confirm when the leader does not.
 
     Args:
-        count: How many hosts there are; a majority of them holds whatever
-            was in force.
+        count: Number of hosts, a majority of which holds every revision
+            that was in force.
     """
     majority = count // 2 + 1
     return count - majority + 1
 
 
 class Floor:
-    """Collects the proof for one process's life.
+    """Collects the proof of the floor from a process's start to its end.
 
     Args:
         me: Name of this host.
         seeds: Names of the domain's seeds.
-        certain: True for control processes, which know by agreement.
+        certain: True for control processes, whose floor Raft guarantees.
     """
 
     __slots__ = (
@@ -67,14 +69,15 @@
         certain: bool,
         voters: collections.abc.Collection[str] = (),
     ) -> None:
-        """Take a floor reply; a negative revision vouches for nothing.
+        """Add a floor reply.
 
         Args:
-            host: Who gives its word.
-            revision: The revision that it knows of.
-            certain: Whether the leader's quorum confirmed it.
-            voters: The agreement's voters, where one of them speaks for
-                itself.
+            host: The host that replied.
+            revision: The newest revision that it knows of; a negative one
+                confirms nothing.
+            certain: Whether the leader's quorum confirmed the revision.
+            voters: The Raft voters, if one of them replied on its own
+                behalf.
         """
         if self.proved:
             return
@@ -111,5 +114,5 @@
             self.proved = True
 
     def reached_by(self, revision: int) -> bool:
-        """Tell whether a revision may be put in force."""
+        """Return whether the floor allows a revision to be put in force."""
         return self.proved and revision >= self.revision
