--- a/libs/fleet/src/trefoil_fleet/distribution.py
+++ b/libs/fleet/src/trefoil_fleet/distribution.py
@@ -1,8 +1,9 @@
-"""The configuration's way to this process: held, witnessed, in force.
+"""Distribution of the configuration to this process.
 
-A revision only ever goes up here. It is held once its whole has been
-checked, and put in force in one step when the floor is reached and, at a
-seed, when a majority of the domain's seeds hold it.
+The revision of a process never decreases. A new revision is first held,
+once it has been validated as a whole. It is put in force in one step when it
+is at or above the floor and, at a seed, when a majority of the domain's
+seeds hold it.
 """
 
 import typing
@@ -25,10 +26,12 @@
     """One process's copy of the configuration.
 
     Args:
-        floor: The proof that a restart forgot nothing.
-        is_seed: Whether this process witnesses for its failure domain.
+        floor: The minimum revision that may be in force, and its proof.
+        is_seed: Whether this process is a seed of its failure domain, and
+            confirms the revisions it holds.
         other_seeds: Names of the domain's other seeds.
-        control: Whether the agreement publishes here.
+        control: Whether this is a control process, which gets the
+            configuration from Raft.
     """
 
     __slots__ = (
@@ -74,21 +77,22 @@
     # Input
 
     def publish(self, items: item_store.Items, now_ms: int) -> None:
-        """Hold what the agreement just made (control processes)."""
+        """Hold a revision that Raft just committed (control processes)."""
         if items.revision > self.held.revision:
             self._hold(items, now_ms)
 
     def on_delta(
         self, peer: str, delta: messages.ConfigDelta, now_ms: int
     ) -> None:
-        """Take a delta from a peer."""
+        """Hold the revision in a delta from a peer, if it is valid."""
         self._record_peer_revision(peer, delta.revision, now_ms)
         if delta.revision <= max(self.held.revision, self.rejected_revision):
             return
         candidate = self.held.with_delta(delta)
         if candidate is None:
-            # The base is ahead of what is held here, or the copies differ:
-            # applying it would leave a mixture of two revisions in force.
+            # The delta's base is ahead of the revision held here, or the two
+            # copies differ. Applying it would put a mixture of two revisions
+            # in force.
             self._pull(peer, now_ms, whole=delta.base <= self.held.revision)
             return
         problems = check.find_problems(candidate)
@@ -106,7 +110,7 @@
         self._hold(candidate, now_ms)
 
     def on_pull(self, peer: str, pull: messages.ConfigPull) -> None:
-        """Give a peer what it lacks."""
+        """Send a peer the items that it lacks."""
         available = self._items_for(peer)
         if available.revision > pull.have or pull.whole:
             base = 0 if pull.whole else pull.have
@@ -116,7 +120,14 @@
     def on_peer_revision(
         self, peer: str, revision: int, digest: int, now_ms: int
     ) -> None:
-        """Note what a peer holds, as its heartbeat or notice tells."""
+        """Record the revision that a peer reports, and pull if it is newer.
+
+        Args:
+            peer: Name of the peer.
+            revision: The revision in its heartbeat or notice.
+            digest: Digest of the configuration it holds, 0 if not given.
+            now_ms: The time on the runtime's clock.
+        """
         self._record_peer_revision(peer, revision, now_ms)
         if revision > max(self.held.revision, self.rejected_revision):
             self._pull(peer, now_ms)
@@ -125,12 +136,17 @@
                 self._pull(peer, now_ms, whole=True)
 
     def drop_peer(self, peer: str) -> None:
-        """Forget what a peer held; its next life may hold less."""
+        """Remove a peer's revision; a restarted peer may hold an older one."""
         self.peer_held.pop(peer, None)
         self.peer_lag_since_ms.pop(peer, None)
 
     def tick(self, links: list[str], now_ms: int) -> None:
-        """Repair peers that lag, put in force what is due."""
+        """Run the periodic work: repair peers, query the floor, put in force.
+
+        Args:
+            links: Names of the linked peers.
+            now_ms: The time on the runtime's clock.
+        """
         for peer in links:
             self._repair(peer, now_ms)
         due_ms = self.floor_queried_ms + FLOOR_QUERY_INTERVAL_MS
@@ -142,9 +158,10 @@
     # Floor
 
     def query_floor_if_unproved(self, peer: str) -> None:
-        """Ask a peer at once, if there is still no proof.
+        """Query a peer at once if the floor is not proved yet.
 
-        A proxy that waits for its next turn refuses its callers meanwhile.
+        Until it is proved a proxy refuses its callers, so it does not wait
+        for the next regular query.
         """
         if not self.floor.proved:
             self._query_floor([peer])
@@ -155,13 +172,13 @@
             self.out.append(common.Send(peer, query))
 
     def confirmed_revision(self) -> int:
-        """Return the revision this seed vouches for, -1 for none."""
+        """Return the revision that this seed confirms, -1 for none."""
         if not self.is_seed or not self.floor.proved:
             return -1
         return self.held.revision
 
     def on_floor_reply(self, reply: messages.FloorReply, now_ms: int) -> None:
-        """Take a word about the floor."""
+        """Add a reply to a floor query."""
         self.floor.add_reply(
             reply.host, reply.revision, reply.certain, reply.voters or ()
         )
@@ -196,12 +213,13 @@
         self.out.append(effects.PutInForce(held))
 
     def _held_by_majority(self) -> bool:
-        """Tell whether a majority of the domain's seeds hold what is held.
+        """Return whether a majority of the domain's seeds hold the revision.
 
-        A lone seed that put a revision in force, was cut off with its
-        domain and then restarted would come back to an older one. After
-        ``WITNESS_MS`` the revision goes in force all the same: with most
-        seeds away, callers waiting on it matter more than that rare chain.
+        Suppose a lone seed put a revision in force, was cut off with its
+        domain and then restarted: it would return to an older one. After
+        ``MAJORITY_WAIT_MS`` the revision is put in force without a majority:
+        when most seeds are down, callers that wait for it matter more than
+        that rare sequence of faults.
         """
         if not self.is_seed:
             return True
@@ -215,10 +233,10 @@
     # Peers
 
     def _items_for(self, peer: str) -> item_store.Items:
-        """Return what a peer may be given.
+        """Return the configuration that a peer may be sent.
 
-        Seeds exchange what they hold, to witness it; everybody else gets
-        only what is witnessed and in force.
+        Seeds send each other the revision they hold, so that a majority can
+        hold it. All other peers get only the revision in force.
         """
         between_seeds = self.is_seed and peer in self.other_seeds
         return self.held if between_seeds else self.in_force
@@ -231,7 +249,7 @@
             self._put_in_force_if_due(now_ms)
 
     def push(self, peers: list[str]) -> None:
-        """Send what just came in force to the peers served from here."""
+        """Send the revision just put in force to peers with an older one."""
         for peer in peers:
             known = self.peer_held.get(peer)
             if known is None or known >= self.in_force.revision:
@@ -242,10 +260,10 @@
             self.peer_held[peer] = self.in_force.revision
 
     def _repair(self, peer: str, now_ms: int) -> None:
-        """Push to a peer that has lagged for a while.
+        """Send a delta to a peer that has lagged for ``REPAIR_DELAY_MS``.
 
-        The eager push goes down the tree only; this catches peers whose
-        own giver was slow or lost, without sending every change twice.
+        ``push`` sends only down the tree. This reaches peers whose own
+        uplink was slow or failed, without sending every change twice.
         """
         available = self._items_for(peer)
         known = self.peer_held.get(peer)
