--- a/libs/fleet/src/trefoil_fleet/overlay.py
+++ b/libs/fleet/src/trefoil_fleet/overlay.py
@@ -1,10 +1,10 @@
-"""Whom a process links to: a shallow tree with a few links across.
+"""The links between processes: a shallow tree with a few cross links.
 
 Control hosts serve seeds, the seeds of a failure domain serve its other
-proxies, and the seeds of a domain link to each other. A proxy whose seeds
-are all away falls back to a control host and looks for a seed again later.
-In a fleet without seeds every proxy links to a control host, one of its own
-failure domain where there is one.
+proxies, and the seeds of a domain link to each other. A proxy that can reach
+none of its seeds falls back to a control host and tries a seed again later.
+In a fleet without seeds every proxy links to a control host, preferably one
+of its own failure domain.
 """
 
 import random
@@ -16,25 +16,26 @@
 RETRY_MAX_MS = 3000
 RETURN_DELAY_MS = 15_000
 EXTRA_LINKS_DELAY_MS = 1500
-# A control host that just learned of a nearer one moves soon, but a fleet
-# that learned of it together does not move in step.
+# Range of the delay before a move to a preferred control host that was just
+# listed. It is short, but random, so that proxies that receive the list at
+# the same time do not all move at once.
 MOVE_DELAY_MS = (300, 1500)
-# Long enough for the peer's own dial (one beat and a round trip), short
-# beside an election.
+# Long enough for the peer to dial first (one heartbeat and a round trip),
+# short compared with an election.
 UNKNOWN_PEER_DIAL_MS = 400
 
 
 class Overlay:
-    """Choice of the links that this process dials.
+    """Chooses the links that this process dials.
 
     Args:
         me: Name of this host.
         domain: Failure domain of this host.
         control: Whether this is a control process.
         seeds: Address of each seed of the failure domain by name.
-        controls: Address of each control process by name, as the settings
-            tell; more are learned from those that answer.
-        rng: Draws the jitter that spreads herds.
+        controls: Address of each control process by name from the
+            settings; more are learned from peers.
+        rng: Draws the jitter that spreads simultaneous dials.
     """
 
     __slots__ = (
@@ -83,7 +84,7 @@
 
     @property
     def is_seed(self) -> bool:
-        """Tell whether this process is a seed of its failure domain."""
+        """Return whether this process is a seed of its failure domain."""
         return self.me in self.seeds
 
     def _uplinks(self) -> list[str]:
@@ -98,7 +99,7 @@
 
     @property
     def uplink(self) -> str:
-        """Return the peer that serves this process, or its candidate."""
+        """Return the peer that serves this process or is to be dialled."""
         if not self.uplinks:
             return ""
         return self.uplinks[self.current % len(self.uplinks)]
@@ -107,15 +108,15 @@
         """Return a seed's or control process's address."""
         return self.seeds.get(host) or self.controls.get(host, "")
 
-    # Control hosts that the settings do not name
+    # Control hosts from settings, hellos and lists
 
     def set_configured(self, controls: dict[str, str]) -> None:
-        """Take the control hosts of changed settings."""
+        """Use the control hosts of changed settings."""
         self.configured = dict(controls)
         self._set_controls(controls | self.controls)
 
     def on_hello(self, hello: messages.Hello) -> None:
-        """Note a control process that greeted this one."""
+        """Add the control process that sent a hello."""
         if not hello.control or hello.host == self.me or not hello.address:
             return
         self.domains[hello.host] = hello.domain or ""
@@ -124,10 +125,10 @@
     def update_controls(
         self, control_hosts: messages.ControlHosts, now_ms: int
     ) -> bool:
-        """Take a list of control hosts; return whether it is news.
+        """Use a list of control hosts; return whether it is newer.
 
-        Hosts that the settings name stay known: if all that are listed are
-        gone, they are the way back.
+        The hosts from the settings are kept: if all listed hosts are down,
+        this process can still reconnect through them.
         """
         if control_hosts.number <= self.control_hosts.number:
             return False
@@ -156,9 +157,9 @@
         """Return the peers to keep a link to.
 
         Args:
-            spare: Link to every seed as well, or every control host in a
-                fleet without seeds, to hear their word of the floor while
-                no leader answers.
+            extra: Link to every seed as well, or to every control host in
+                a fleet without seeds, to receive their confirmations of the
+                floor while no leader answers.
             now_ms: The time on the runtime's clock.
         """
         wanted = set()
@@ -176,9 +177,10 @@
     def _wanted_controls(self, now_ms: int) -> set[str]:
         """Return the control hosts to dial.
 
-        Of two that know each other the one with the lesser name dials, so
-        that they do not replace each other's links. One that the other does
-        not know yet would never be dialled: after a pause it dials itself.
+        Of two control hosts that know each other, the one whose name sorts
+        first dials, so that they do not replace each other's links. A host
+        that its peer does not know yet would never be dialled, so it dials
+        the peer itself after ``UNKNOWN_PEER_DIAL_MS``.
         """
         wanted = set()
         for name in self.controls:
@@ -188,17 +190,17 @@
         return wanted
 
     def may_dial(self, host: str, now_ms: int) -> bool:
-        """Tell whether a dial is due, and hold the next one back."""
+        """Return whether a dial is due, and delay the next one."""
         if now_ms < self.retry_at_ms.get(host, 0):
             return False
         self.retry_at_ms[host] = now_ms + RETRY_MAX_MS
         return True
 
     def failed(self, host: str, now_ms: int, retry_after_ms: int = 0) -> None:
-        """Note a link that broke or was refused, and move on.
+        """Record a link that broke or was refused, and try the next uplink.
 
-        Retries wait longer each time and are jittered: a herd that lost the
-        same seed would else knock in step.
+        The retry delay grows with each failure and is jittered: otherwise
+        all proxies that lost the same seed would redial at the same time.
         """
         self.unlinked_ms[host] = now_ms
         count = self.failures.get(host, 0) + 1
@@ -210,21 +212,21 @@
             self.current += 1
 
     def linked(self, host: str, now_ms: int) -> None:
-        """Note a link that works."""
+        """Record that a link is established."""
         self.failures.pop(host, None)
         self.retry_at_ms.pop(host, None)
         spread = self.rng.uniform(1.0, 2.0)
         self.return_at_ms = now_ms + int(RETURN_DELAY_MS * spread)
 
     def return_to_preferred(self, now_ms: int) -> str:
-        """Return to the first choice after a while on another.
+        """Return to the preferred uplink after a while on a fallback.
 
-        A domain whose seeds were all away leaves its proxies on control
-        hosts; without this they would stay there and the control hosts
-        would serve the fleet one by one.
+        When all seeds of a domain are unreachable, its proxies link to
+        control hosts. Without this they would stay there, and the control
+        hosts would serve every proxy of the fleet directly.
 
         Returns:
-            The uplink that was given up, empty if none was.
+            The uplink that is to be replaced, empty if none is.
         """
         on_fallback = self.uplinks and self.current % len(self.uplinks) != 0
         if not on_fallback or now_ms < self.return_at_ms:
