--- a/libs/fleet/src/trefoil_fleet/items.py
+++ b/libs/fleet/src/trefoil_fleet/items.py
@@ -1,8 +1,8 @@
 """The configuration as keyed items with revisions.
 
-A revision is the index of the log entry that made it. Each item carries the
-revision that last changed it, so a delta is the items changed after a base,
-and a delta from an older base is a superset that applies just as well.
+A revision is the index of the log entry that created it. Each item carries
+the revision that last changed it. A delta holds the items changed after a
+base revision, so a delta from an older base is a superset and applies too.
 """
 
 import collections.abc
@@ -26,13 +26,14 @@
     EVACUATION: messages.Evacuation,
     "limits/": messages.CallerLimits,
 }
-# What a configuration document holds; the rest comes by other commands.
+# Key prefixes of the items that a configuration document sets. Other commands
+# set the rest.
 DOCUMENT_PREFIXES = (SERVICE, ROUTE, "limits/")
 MAX_TOMBSTONES = 512
 
 
 def kind_of(key: str) -> type:
-    """Return the struct that a key's value holds.
+    """Return the type of the struct stored under a key.
 
     Raises:
         KeyError: No kind of item has such a key.
@@ -41,7 +42,7 @@
 
 
 def digest_of(item: messages.Item) -> int:
-    """Return an item's part of the digest; deleted items have none."""
+    """Return an item's share of the digest, 0 for a deleted item."""
     if item.deleted:
         return 0
     prefix = f"{item.key}\0{item.revision}\0".encode()
@@ -52,7 +53,7 @@
     """A whole configuration at one revision.
 
     Args:
-        revision: Its revision; 0 is the empty configuration.
+        revision: The revision; 0 is the empty configuration.
     """
 
     __slots__ = ("revision", "by_key", "digest", "oldest_base", "decoded")
@@ -75,7 +76,7 @@
         return configuration
 
     def copy(self) -> "Items":
-        """Return a copy that can be changed apart."""
+        """Return a copy that can be changed independently."""
         items = Items(self.revision)
         items.by_key = dict(self.by_key)
         items.digest = self.digest
@@ -84,7 +85,7 @@
         return items
 
     def set(self, revision: int, key: str, record: typing.Any) -> None:
-        """Put a record under a key at a new revision."""
+        """Store a record under a key at a new revision."""
         self._put(messages.Item(key, frames.pack(record), revision, False))
         self.revision = revision
 
@@ -106,12 +107,12 @@
         return record
 
     def revision_of(self, key: str) -> int:
-        """Return when a key last changed; 0 if that is not remembered."""
+        """Return the revision that last changed a key, 0 if unknown."""
         item = self.by_key.get(key)
         return item.revision if item is not None else 0
 
     def all(self, prefix: str) -> list[typing.Any]:
-        """Return the records of one kind in order of their keys."""
+        """Return the records whose keys have a prefix, sorted by key."""
         keys = sorted(
             key
             for key, item in self.by_key.items()
@@ -120,7 +121,11 @@
         return [self.get(key) for key in keys]
 
     def delta_since(self, base: int) -> messages.ConfigDelta:
-        """Return what changed after a base; everything if it is too old."""
+        """Return the items changed after a base revision.
+
+        All items are returned if tombstones newer than the base have been
+        dropped, or if the base is ahead of this configuration.
+        """
         if base < self.oldest_base or base > self.revision:
             base = 0
         changed = [
@@ -139,8 +144,9 @@
         """Return the configuration after a delta, checked by its digest.
 
         Returns:
-            None if the delta does not fit: its base is ahead of this one or
-            the digest differs. The holder then asks for the whole.
+            None if the delta cannot be applied: its base is ahead of this
+            revision, or the digest differs. The caller then requests the
+            whole configuration.
         """
         if delta.base == 0:
             items = Items()
@@ -166,7 +172,8 @@
         self.digest ^= digest_of(item)
 
     def _drop_tombstones(self) -> None:
-        # Those of evacuations tell a command that was held up from a new one.
+        # Tombstones of evacuations are kept: they distinguish a delayed
+        # command from a new one.
         tombstones = [
             item
             for item in self.by_key.values()
