--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet: this host's record, suspicion and refutation."""
+"""Host membership: this host's record, suspicion and refutation."""
 
 import random
 import typing
@@ -16,14 +16,14 @@
 
 
 class Membership:
-    """This process's view of the hosts.
+    """This process's view of the hosts in the fleet.
 
     Args:
-        record: This host's own record; control processes have none that
-            others need, and pass one without targets.
+        record: This host's own record. Other hosts do not need that of a
+            control process, which passes one without targets.
         control: Whether this is a control process.
-        prober: Whether this process probes hosts that nobody may watch.
-        rng: Draws whom to probe.
+        probes: Whether this process probes hosts that it has no link to.
+        rng: Draws the host to probe.
     """
 
     __slots__ = (
@@ -57,7 +57,7 @@
         self.flood: list[messages.HostRecord] = []
 
     def start(self, now_ms: int) -> None:
-        """Enter the own record."""
+        """Publish this host's record, unless this is a control process."""
         if not self.control:
             self._publish_own(now_ms)
 
@@ -69,13 +69,13 @@
             self._publish_next_version(now_ms, targets=targets)
 
     def leave(self, now_ms: int) -> None:
-        """Say that this host leaves."""
+        """Announce that this host leaves the fleet."""
         self._publish_next_version(now_ms, targets=[], state=State.LEFT)
 
     def on_delta(
         self, delta: messages.RecordsDelta, now_ms: int
     ) -> list[messages.HostRecord]:
-        """Take records; return those that are news here."""
+        """Store records from a peer and return those that are newer here."""
         updates = []
         for record in map(self._death_as_suspicion, delta.records):
             if record.host == self.record.host and not self.control:
@@ -90,11 +90,12 @@
     def _death_as_suspicion(
         self, record: messages.HostRecord
     ) -> messages.HostRecord:
-        """Take another side's word of a death as a suspicion first.
+        """Turn a reported death of a host that is alive here into a suspicion.
 
-        When a cut heals, each side has declared the other dead. Believed at
-        once, that would take every target out of routing until its host
-        has refuted it, and callers would see refusals for a second.
+        When a network partition heals, each side has declared the other
+        dead. If that were accepted at once, every target would be removed
+        from routing until its host refuted it, and callers would be refused
+        for a second.
         """
         own = self.records.get(record.host)
         if record.state != State.DEAD or own is None:
@@ -108,15 +109,15 @@
         return record
 
     def mark_unresponsive(self, host: str, now_ms: int) -> None:
-        """Doubt a host whose link broke or whose probe failed."""
+        """Record that a host's link broke or that its probe failed."""
         self.unresponsive_since_ms.setdefault(host, now_ms)
 
     def mark_responsive(self, host: str) -> None:
-        """Drop a doubt: the host was heard."""
+        """Record that a host answered."""
         self.unresponsive_since_ms.pop(host, None)
 
     def on_probe_result(self, host: str, answered: bool, now_ms: int) -> None:
-        """Take a probe's outcome."""
+        """Record the result of a probe."""
         if answered:
             self.mark_responsive(host)
         else:
@@ -125,15 +126,17 @@
     def suspect_unresponsive(
         self, last_received_ms: dict[str, int], now_ms: int
     ) -> None:
-        """Suspect the hosts in doubt, if this process hears others.
+        """Suspect unresponsive hosts, if this process hears from others.
 
-        A process that hears nobody is itself cut off. Were it to suspect at
-        once, a control host on the far side of a cut would declare the
-        fleet dead and flood that when the cut heals, for every host to
-        refute. A peer heard after the doubt arose shows that it is not.
+        A process that receives no messages is cut off itself. If it
+        suspected hosts at once, an isolated control host would declare the
+        whole fleet dead and flood that when the partition heals, and every
+        host would have to refute it. A message from another peer after the
+        host became unresponsive shows that this process is not cut off.
 
         Args:
-            heard_ms: When each linked peer was last heard.
+            last_received_ms: When the last message of each linked peer
+                arrived.
             now_ms: The time on the runtime's clock.
         """
         for host, since_ms in list(self.unresponsive_since_ms.items()):
@@ -154,7 +157,7 @@
             self.out.append(common.Note("member.suspect", {"peer": host}))
 
     def tick(self, linked: set[str], now_ms: int) -> None:
-        """Expire suspects, probe one host that is not linked here."""
+        """Expire suspected hosts and probe one host without a link."""
         changed = self.records.expire(now_ms)
         if changed:
             self.out.append(effects.RecordsChanged(changed))
@@ -165,10 +168,11 @@
             self._probe(linked)
 
     def _probe(self, linked: set[str]) -> None:
-        """Probe a host at random.
+        """Probe a random host that has no link to this process.
 
-        A seed and the proxies it watches can die together, with a rack; no
-        link is then left to notice, and their records would stay for ever.
+        A seed and the proxies linked to it can fail together, for example
+        with a rack. No link is then left to detect it, and without probes
+        their records would never expire.
         """
         candidates = [
             record
@@ -183,7 +187,7 @@
             self.out.append(effects.Probe(chosen.host, chosen.address))
 
     def _refute(self, seen: messages.HostRecord, now_ms: int) -> None:
-        """Answer a record of this host that is not the own one."""
+        """Publish a newer record when a peer reports another of this host."""
         own = self.record
         if record_store.version_of(seen) <= record_store.version_of(own):
             return
