--- a/libs/fleet/src/trefoil_fleet/records.py
+++ b/libs/fleet/src/trefoil_fleet/records.py
@@ -1,4 +1,7 @@
-"""Hosts' records: one writer each, ordered by incarnation and sequence."""
+"""Records of hosts, ordered by incarnation and sequence.
+
+Only the host itself writes its record; others may only worsen its state.
+"""
 
 import collections.abc
 
@@ -14,18 +17,18 @@
 
 
 def version_of(record: messages.HostRecord) -> tuple[int, int, int]:
-    """Return what orders two records of a host; the greater one wins.
+    """Return the sort key of a host's records; the greatest one wins.
 
     At equal incarnation and sequence the worse state wins, so a suspicion
-    takes hold until the host itself refutes it with a higher sequence.
+    stands until the host itself refutes it with a higher sequence.
     """
     return record.incarnation, record.sequence, record.state
 
 
 def hash_of(record: messages.HostRecord) -> int:
-    """Return a record's part of the digest; hosts that are gone have none.
+    """Return a record's share of the digest, 0 for a host that left or died.
 
-    Suspicion is left out: it lasts seconds and settles by itself.
+    Suspicion is not part of it: it lasts seconds and then ends by itself.
     """
     if record.state in ABSENT_STATES:
         return 0
@@ -48,7 +51,7 @@
 
 
 class Records:
-    """The records of all hosts that this process knows."""
+    """The records of all hosts known to this process."""
 
     __slots__ = ("by_host", "digest", "changed_ms", "last_change_ms")
 
@@ -59,7 +62,7 @@
         self.last_change_ms = 0
 
     def put(self, record: messages.HostRecord, now_ms: int) -> bool:
-        """Take a record if it is newer; return whether it was."""
+        """Store a record if it is newer; return whether it was."""
         old = self.by_host.get(record.host)
         if old is not None:
             if version_of(old) >= version_of(record):
@@ -72,11 +75,11 @@
         return True
 
     def get(self, host: str) -> messages.HostRecord | None:
-        """Return a host's record."""
+        """Return a host's record, None if the host is unknown."""
         return self.by_host.get(host)
 
     def present(self) -> list[messages.HostRecord]:
-        """Return the records of hosts that are not gone."""
+        """Return the records of hosts that neither left nor died."""
         return [
             r for r in self.by_host.values() if r.state not in ABSENT_STATES
         ]
@@ -84,7 +87,11 @@
     def mark(
         self, host: str, state: int, now_ms: int
     ) -> messages.HostRecord | None:
-        """Return a worse copy of a host's record, None if none is due."""
+        """Store and return a host's record with a worse state.
+
+        Returns:
+            None if the host is unknown or its state is already as bad.
+        """
         old = self.by_host.get(host)
         if old is None or old.state >= state:
             return None
@@ -93,7 +100,10 @@
         return marked
 
     def expire(self, now_ms: int) -> list[str]:
-        """Declare silent suspects dead, forget the long gone.
+        """Declare suspected hosts dead and remove old records.
+
+        A host is dead after ``SUSPECT_TIMEOUT_MS`` of suspicion. The record
+        of one that left or died is removed after ``ABSENT_RETENTION_MS``.
 
         Returns:
             The hosts whose state changed.
@@ -114,7 +124,7 @@
     def summary(
         self, now_ms: int, *, recent_only: bool, reply_wanted: bool
     ) -> messages.RecordsSummary:
-        """Return the versions held, all of them or the recent ones."""
+        """Return the versions of all records or of recently changed ones."""
         return messages.RecordsSummary(
             versions=[
                 messages.RecordVersion(
@@ -133,7 +143,7 @@
         *,
         recent_only: bool,
     ) -> list[messages.HostRecord]:
-        """Return the records that a summary lacks or has older."""
+        """Return the records that a summary lacks or has in older versions."""
         theirs = {
             v.host: (v.incarnation, v.sequence, v.state) for v in versions
         }
--- a/libs/fleet/src/trefoil_fleet/reports.py
+++ b/libs/fleet/src/trefoil_fleet/reports.py
@@ -1,4 +1,4 @@
-"""Reports of what is in force where, as they travel to control hosts."""
+"""Reports of the revision in force at each host, for the Raft leader."""
 
 import dataclasses
 
@@ -9,18 +9,18 @@
 
 @dataclasses.dataclass(slots=True)
 class ReceivedReport:
-    """A report and when it arrived."""
+    """A report and the time of its arrival."""
 
     report: messages.Report
     received_ms: int
 
     def age_ms(self, now_ms: int) -> int:
-        """Return how old the report's fact is."""
+        """Return the age of the reported state in milliseconds."""
         return self.report.age_ms + now_ms - self.received_ms
 
 
 class Reports:
-    """The newest report of each host, and those still to pass on."""
+    """The newest report of each host, and the reports to be forwarded."""
 
     __slots__ = ("by_host", "pending")
 
@@ -29,7 +29,7 @@
         self.pending: dict[str, int] = {}
 
     def add(self, report: messages.Report, now_ms: int) -> bool:
-        """Take a report unless a newer one is known."""
+        """Store a report if it is newer; return whether it was stored."""
         known = self.by_host.get(report.host)
         if known is not None:
             old = known.report
@@ -46,7 +46,7 @@
         return True
 
     def take_pending(self, now_ms: int) -> list[messages.Report]:
-        """Return the reports to pass on, aged, and clear them."""
+        """Return and clear the reports to forward, with their current age."""
         due = []
         for host in self.pending:
             received = self.by_host.get(host)
@@ -56,20 +56,20 @@
         return due
 
     def resend_all(self) -> None:
-        """Pass every known report on once more."""
+        """Mark every known report to be forwarded again."""
         self.pending = {
             host: received.received_ms
             for host, received in self.by_host.items()
         }
 
     def remove(self, host: str) -> None:
-        """Drop a host that is gone."""
+        """Remove the report of a host that has left or died."""
         self.by_host.pop(host, None)
         self.pending.pop(host, None)
 
 
 def with_current_age(received: ReceivedReport, now_ms: int) -> messages.Report:
-    """Return a report with the time that it spent here added to its age."""
+    """Return a report whose age includes the time that it was held here."""
     report = received.report
     return messages.Report(
         host=report.host,
