--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -1,4 +1,4 @@
-"""The fleet core of one process: links, heartbeats and what they carry."""
+"""The fleet core of one process: links, heartbeats and their messages."""
 
 import dataclasses
 import functools
@@ -19,16 +19,17 @@
 
 HEARTBEAT_MS = 1000
 LINK_TIMEOUT_MS = 3500
-# A heartbeat that is nearly one more late: lost, or its sender stands still.
-# Links to other control hosts are cheap beside a stale configuration, so
-# this need not be as sure as SILENT_MS.
+# Close to two heartbeat intervals: one heartbeat was lost, or its sender has
+# stalled. Links to other control hosts cost little compared with a stale
+# configuration, so this may be less certain than LINK_TIMEOUT_MS.
 UNRESPONSIVE_MS = 1800
-# A dial takes a round trip; one to a host that is dark takes seconds to fail.
+# A successful dial takes a round trip; one to a host that does not answer
+# takes seconds to fail.
 UPLINK_WAIT_MS = 1000
 REPORT_FLUSH_MS = 100
-# News that comes sooner after the last waits for this long, to go in one
-# message with what else comes: when a fleet starts, each of its hosts has news
-# for each other one several times within seconds.
+# Record updates that arrive within this time of the last message are sent
+# together in the next one: when a fleet starts, each host has updates for
+# every other host several times within seconds.
 UPDATE_BATCH_MS = 100
 SUMMARY_INTERVAL_MS = 5000
 RECORDS_STABLE_MS = 1500
@@ -39,11 +40,11 @@
 
 @dataclasses.dataclass(slots=True)
 class RecordUpdate:
-    """A record to pass on.
+    """A record to forward to peers.
 
     Args:
         record: The record.
-        source: The peer that told it, empty for this process itself.
+        source: The peer that sent it, empty for this process itself.
     """
 
     record: messages.HostRecord
@@ -58,7 +59,11 @@
         host: The peer's name.
         control: Whether the peer is a control process.
         served: Whether the peer dialled this process as its uplink.
-        heard_ms: When the peer last said anything.
+        last_received_ms: When the last message from the peer arrived.
+        led: Whether the peer knows of a leader.
+        summary_ms: When a summary of records was last sent to the peer.
+        mismatches: Successive heartbeats with another digest of records.
+        disconnecting: Whether this process has asked to close the link.
     """
 
     host: str
@@ -72,7 +77,9 @@
 
 
 class Node:
-    """The fleet core.
+    """The fleet core of one process.
+
+    Methods that take an event return the effects that it causes.
 
     Args:
         record: This host's record.
@@ -81,7 +88,7 @@
         controls: Address of each control process by name.
         now_ms: The time on the runtime's clock.
         rng: Draws jitter and probes.
-        joins_per_s: How many joining peers this process serves a second.
+        joins_per_s: How many joining peers this process accepts a second.
     """
 
     __slots__ = (
@@ -167,19 +174,20 @@
         self.out: list[typing.Any] = []
         self.members.start(now_ms)
 
-    # Facts
+    # State
 
     @property
     def ready(self) -> bool:
-        """Tell whether a configuration is in force here."""
+        """Return whether a configuration is in force here."""
         return self.config.in_force.revision > 0
 
     @property
     def report_peer(self) -> str:
-        """Return the linked peer that reports go to, empty without one.
+        """Return the linked peer that reports are sent to, empty without one.
 
-        The uplink, unless it says nothing or hears of no leader: what it is
-        told then reaches the leader late, and a move is judged without it.
+        This is the uplink, unless it is unresponsive or knows no leader:
+        reports sent to it would then reach the leader late, and the versions
+        of a move would be compared without them.
         """
         ranked = [self.overlay.uplink, self.old_uplink]
         ranked += [link.host for link in self.links.values() if link.control]
@@ -195,13 +203,13 @@
         )
 
     def is_cross_domain(self, host: str) -> bool:
-        """Tell whether a host is known to be in another failure domain."""
+        """Return whether a host is known to be in another failure domain."""
         record = self.members.records.get(host)
         domain = record.domain if record else self.overlay.domains.get(host)
         return bool(domain) and domain != self.members.record.domain
 
     def hello(self) -> messages.Hello:
-        """Return the greeting for a subscribed link."""
+        """Return the hello message for a subscribed link."""
         return messages.Hello(
             host=self.me,
             domain=self.members.record.domain,
@@ -215,10 +223,11 @@
     # Links
 
     def admit(self, hello: messages.Hello, now_ms: int) -> int:
-        """Decide on a peer that dialled in.
+        """Decide whether to serve a peer that dialled this process.
 
         Returns:
-            0 to serve it, else how long it should wait, in milliseconds.
+            0 to serve it, otherwise the time it should wait, in
+            milliseconds.
         """
         gained = (now_ms - self.join_ms) * self.joins_per_s / 1000
         self.join_tokens = min(self.join_tokens + gained, float(JOIN_BURST))
@@ -227,8 +236,8 @@
         if self.join_tokens >= 1 or exempt:
             self.join_tokens -= 1
             return 0
-        # Serving a whole herd at once would starve the heartbeats of those
-        # that are linked, and they would leave and join the herd.
+        # Serving many joining peers at once would delay the heartbeats of
+        # linked peers, which would then disconnect and join again as well.
         wait_ms = 1000 + 1000 * abs(self.join_tokens) / self.joins_per_s
         return int(wait_ms * self.rng.uniform(0.5, 1.5))
 
@@ -241,7 +250,7 @@
         revision: int,
         now_ms: int,
     ) -> list[typing.Any]:
-        """Note a link that is up on both sides."""
+        """Add a link that is established on both sides."""
         self.now_ms = now_ms
         self.links[host] = Link(host, control, served, now_ms)
         self.overlay.linked(host, now_ms)
@@ -256,8 +265,8 @@
         if self.overlay.control_hosts.number:
             self._send(host, self.overlay.control_hosts)
         if host in (self.leader, self.overlay.uplink):
-            # What was reported while this link was away would else stay
-            # unknown on its far side until the next refresh.
+            # The peer has not received what was reported while this link
+            # was down. Otherwise it would wait for the next refresh.
             self.reports.resend_all()
         self._send(host, self._heartbeat())
         return self._flush()
@@ -265,7 +274,7 @@
     def unlinked(
         self, host: str, now_ms: int, retry_after_ms: int = 0
     ) -> list[typing.Any]:
-        """Note a link that broke, or a dial that failed or was refused."""
+        """Remove a link that broke, or record a failed or refused dial."""
         self.now_ms = now_ms
         was_linked = self.links.pop(host, None) is not None
         self.config.drop_peer(host)
@@ -277,7 +286,7 @@
     def on_probe_result(
         self, host: str, answered: bool, now_ms: int
     ) -> list[typing.Any]:
-        """Take a probe's outcome."""
+        """Record the result of a probe."""
         self.now_ms = now_ms
         self.members.on_probe_result(host, answered, now_ms)
         return self._flush()
@@ -287,7 +296,7 @@
     def receive(
         self, peer: str, message: typing.Any, now_ms: int
     ) -> list[typing.Any]:
-        """Take a message from a linked peer."""
+        """Handle a message from a linked peer."""
         self.now_ms = now_ms
         link = self.links.get(peer)
         if link is not None:
@@ -298,19 +307,19 @@
     def publish(
         self, items: item_store.Items, now_ms: int
     ) -> list[typing.Any]:
-        """Distribute what the agreement made (control processes)."""
+        """Distribute a revision that Raft committed (control processes)."""
         self.now_ms = now_ms
         self.config.publish(items, now_ms)
         return self._flush()
 
     def on_hello(self, hello: messages.Hello) -> None:
-        """Note the greeting of a control process."""
+        """Add the control process that sent a hello."""
         self.overlay.on_hello(hello)
 
     def update_controls(
         self, control_hosts: messages.ControlHosts, now_ms: int
     ) -> list[typing.Any]:
-        """Take a newer list of control hosts and pass it on."""
+        """Use a newer list of control hosts and forward it."""
         self.now_ms = now_ms
         self._update_controls(control_hosts, "")
         return self._flush()
@@ -332,7 +341,7 @@
         return self._flush()
 
     def leave(self, now_ms: int) -> list[typing.Any]:
-        """Say that this host leaves the fleet."""
+        """Announce that this host leaves the fleet."""
         self.now_ms = now_ms
         self.members.leave(now_ms)
         return self._flush()
@@ -340,7 +349,7 @@
     def send_leader_confirmation(
         self, nonce: int, revision: int, now_ms: int
     ) -> list[typing.Any]:
-        """Pass on the agreement's word for an ``AskFloor``."""
+        """Send the leader's confirmation for an ``AskFloor``."""
         self.now_ms = now_ms
         self._relay_floor(nonce, revision)
         return self._flush()
@@ -348,7 +357,7 @@
     def send_voter_confirmation(
         self, nonce: int, revision: int, voters: list[str], now_ms: int
     ) -> list[typing.Any]:
-        """Give a voter's own word for an ``AskFloor``."""
+        """Send this voter's own confirmation for an ``AskFloor``."""
         self.now_ms = now_ms
         query = self.floor_relays.get(nonce)
         if query is not None:
@@ -361,7 +370,7 @@
         return self._flush()
 
     def tick(self, now_ms: int) -> list[typing.Any]:
-        """Let time pass."""
+        """Run the periodic work that is due."""
         self.now_ms = now_ms
         self._dial()
         self._disconnect_silent()
@@ -428,7 +437,7 @@
             self._send_updates()
 
     def _send_updates(self) -> None:
-        """Send each peer the records that it has not told itself."""
+        """Send each peer the queued records that it did not send itself."""
         updates, self.updates = self.updates, {}
         self.updates_due_ms = self.now_ms + UPDATE_BATCH_MS
         due: dict[str, list[messages.HostRecord]] = {}
@@ -442,11 +451,12 @@
                 self._send(peer, delta)
 
     def _forward_peers(self, source: str) -> list[str]:
-        """Return the peers that news from another peer is passed on to.
+        """Return the peers to forward a message from another peer to.
 
-        Control hosts are linked each to each. News that one of them told the
-        others would else come to each of them from all of them. Where a link
-        between two of them is broken, their digests differ and repair it.
+        Every control host is linked to every other. A message from one of
+        them is not forwarded to the others, as each would receive it from
+        all of them. If a link between two of them is broken, their digests
+        differ and a summary repairs the difference.
         """
         others = [link for link in self.links.values() if link.host != source]
         source_link = self.links.get(source)
@@ -482,10 +492,10 @@
                 self.out.append(effects.Dial(host, address))
 
     def _disconnect_old_uplink(self) -> None:
-        """Hang up on the uplink that was given up, now that another serves.
+        """Disconnect the old uplink, now that the new one is linked.
 
-        The one to move to may be dark, and a dial takes seconds to tell.
-        Hanging up first would leave this proxy without any link, and so
+        The new uplink may not answer, and a dial takes seconds to fail.
+        Disconnecting first would leave this proxy without any link, and so
         without new configurations, for all that time.
         """
         old, self.old_uplink = self.old_uplink, ""
@@ -493,20 +503,20 @@
             self._disconnect(self.links[old])
 
     def _disconnect(self, link: Link) -> None:
-        """Close a link, once."""
+        """Close a link unless that was already requested."""
         if not link.disconnecting:
             link.disconnecting = True
             self.out.append(effects.Disconnect(link.host))
 
     def _uplink_is_unresponsive(self) -> bool:
-        """Tell whether newer configurations may pass the uplink by.
-
-        The control host above may be cut off from the other control hosts,
-        or stand still, while this proxy reaches them all. Its link does not
-        break, so the proxy would stay with it and serve an old
-        configuration for as long as the trouble lasts. The link is kept,
-        since in a cut-off failure domain it is the only one; links to the
-        others bring what is agreed there.
+        """Return whether the uplink may be missing newer configurations.
+
+        The control host that serves this proxy may be cut off from the other
+        control hosts, or stalled, while the proxy reaches them all. The link
+        does not break, so the proxy would stay with it and serve an old
+        configuration until the fault ends. The link is kept, since in a
+        cut-off failure domain it is the only one; links to the other control
+        hosts deliver the newer revisions.
         """
         if self.control:
             return False
@@ -517,7 +527,7 @@
         return not self._is_responsive(link)
 
     def _disconnect_extra(self, wanted: list[str]) -> None:
-        """Close the links that only the proof of the floor needed."""
+        """Close the links that served only to prove the floor."""
         if self.control or self.overlay.seeds:
             return
         for link in list(self.links.values()):
@@ -529,8 +539,8 @@
         for link in list(self.links.values()):
             silent = self.now_ms - link.last_received_ms >= LINK_TIMEOUT_MS
             if silent and not link.disconnecting:
-                # A connection can go silent for good while new ones work;
-                # waiting for its error would leave this proxy on an old
+                # A connection can stop delivering data while new ones work.
+                # Waiting for its error would leave this proxy on an old
                 # configuration for as long as the kernel retries.
                 self.out.append(
                     common.Note("link.silent", {"peer": link.host})
@@ -559,23 +569,24 @@
         )
 
     def set_leader(self, leader: str) -> None:
-        """Pass reports to another leader from now on (control processes).
+        """Forward reports to a new leader (control processes).
 
-        Only the leader answers for the fleet. Sent to every control host, a
-        change at 860 proxies would cost each of 8 hosts seven times over.
+        Only the leader answers queries about the fleet. If reports went to
+        every control host, each of 8 hosts would send those of a change at
+        860 proxies seven times.
         """
         if leader != self.leader:
             self.leader = leader
             self.reports.resend_all()
 
     def set_leader_known(self, led: bool) -> None:
-        """Tell peers at the next beat whether a leader is heard here."""
+        """Announce in the next heartbeat whether a leader is known here."""
         if led != self.led:
             self.led = led
             self.heartbeat_at_ms = self.now_ms
 
     def _forward_reports(self) -> None:
-        """Send new reports to the uplink, or on to the leader."""
+        """Send new reports to the uplink, or to the leader (control hosts)."""
         peer = self.leader if self.control else self.report_peer
         if peer == self.me:
             self.reports.pending = {}
@@ -586,31 +597,31 @@
     # Messages
 
     def on_heartbeat(self, peer: str, heartbeat: messages.Heartbeat) -> None:
-        """Compare digests."""
+        """Compare the digests in a heartbeat with those of this process."""
         self.config.on_peer_revision(
             peer, heartbeat.revision, heartbeat.config_digest, self.now_ms
         )
         link = self.links.get(peer)
         if link is not None:
             if heartbeat.led and not link.led:
-                # What was asked before there was a leader got no answer.
+                # Queries sent before a leader was known got no reply.
                 self.config.query_floor_if_unproved(peer)
             link.led = bool(heartbeat.led)
             self._compare_records(link, heartbeat.records_digest)
 
     def on_reports(self, peer: str, message: messages.Reports) -> None:
-        """Take reports of what is in force."""
+        """Store reports of the revision in force at hosts."""
         link = self.links.get(peer)
         from_control = self.control and link is not None and link.control
         for report in message.reports:
             is_new = self.reports.add(report, self.now_ms)
             if is_new and from_control:
-                # Two control hosts that take each other for the leader
-                # would send a report to and fro.
+                # Two control hosts that each consider the other the leader
+                # would otherwise send a report back and forth.
                 self.reports.pending.pop(report.host, None)
 
     def _compare_records(self, link: Link, digest: int) -> None:
-        """Repair records that differ though nothing moves."""
+        """Send a summary if records differ and none changed recently."""
         records = self.members.records
         quiet = self.now_ms - records.last_change_ms >= RECORDS_STABLE_MS
         if digest == records.digest or not quiet:
@@ -629,7 +640,7 @@
         self._send(link.host, summary)
 
     def on_summary(self, peer: str, summary: messages.RecordsSummary) -> None:
-        """Send what the peer lacks; ask for what is newer there."""
+        """Send the records a peer lacks and request those it has newer."""
         records = self.members.records
         newer = records.newer_than(
             summary.versions,
@@ -656,7 +667,7 @@
         return False
 
     def on_floor_query(self, peer: str, query: messages.FloorQuery) -> None:
-        """Answer with the leader's word, or the own one."""
+        """Reply with a seed's own confirmation and query the leader."""
         if self.control or self._control_link():
             self.floor_nonce += 1
             self.floor_relays[self.floor_nonce] = messages.FloorQuery(
@@ -682,7 +693,7 @@
         return ""
 
     def on_floor_reply(self, reply: messages.FloorReply) -> None:
-        """Take a word for this process, or pass it on."""
+        """Use a floor reply for this process, or relay it."""
         if reply.nonce == 0:
             self.config.on_floor_reply(reply, self.now_ms)
         elif reply.certain:
@@ -699,7 +710,7 @@
 
 @functools.singledispatch
 def handle(message: typing.Any, node: Node, peer: str) -> None:
-    """Take a message between fleet cores; others are ignored."""
+    """Handle a message between fleet cores; other types are ignored."""
 
 
 @handle.register
