--- a/libs/fleet/tests/test_floor.py
+++ b/libs/fleet/tests/test_floor.py
@@ -1,4 +1,4 @@
-"""What proves that a restarted proxy forgot nothing."""
+"""The proof of the floor after a restart of a proxy."""
 
 import pytest
 
@@ -21,8 +21,8 @@
 ) -> None:
     """A proxy restarts while no leader is known.
 
-    Three of four voters hold what was acknowledged, so of any two one has
-    it; one alone may be behind, and a stranger may know anything.
+    Three of four voters hold an acknowledged revision, so one of any two has
+    it. One voter alone may lag, and an unknown host may report any revision.
     """
     floor = floors.Floor("p1", [])
     for host, host_revision in confirmed.items():
--- a/libs/fleet/tests/test_node.py
+++ b/libs/fleet/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The fleet core: what is in force never goes down, records converge."""
+"""The fleet core: revisions in force never decrease, records converge."""
 
 import random
 import typing
@@ -23,7 +23,7 @@
 
 
 class Net:
-    """Cores joined by links that break, cross and repeat messages."""
+    """Simulated fleet whose links break, reorder and repeat messages."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -43,7 +43,7 @@
             self.boot(name)
 
     def boot(self, name: str) -> None:
-        """Start a process with an empty memory."""
+        """Start a process without any state."""
         self.incarnations[name] += 1
         control = name in CONTROLS
         record = messages.HostRecord(
@@ -77,7 +77,7 @@
             self.break_link(pair)
 
     def publish(self) -> None:
-        """Agree on a new revision at the control process."""
+        """Publish a new revision at the control process."""
         self.revision += 1
         self.items = self.items.copy()
         drain = messages.Drain(host=f"h{self.revision % 7}")
@@ -86,13 +86,13 @@
         self.perform("c1", node.publish(self.items, self.now_ms))
 
     def reachable(self, first: str, second: str) -> bool:
-        """Tell whether two processes can speak."""
+        """Return whether two processes can exchange messages."""
         if {first, second} & self.down:
             return False
         return (first in self.cut) == (second in self.cut)
 
     def perform(self, name: str, emitted: list[typing.Any]) -> None:
-        """Carry out a process's effects."""
+        """Perform the effects that a process returned."""
         for effect in emitted:
             match effect:
                 case common.Send():
@@ -158,7 +158,7 @@
                 self.perform(first, node.unlinked(second, self.now_ms))
 
     def deliver(self, at: int, keep: bool) -> None:
-        """Let one message arrive."""
+        """Deliver one message; with ``keep`` it can arrive again."""
         if not self.in_transit:
             return
         at %= len(self.in_transit)
@@ -172,7 +172,7 @@
             self.perform(target, emitted)
 
     def run(self, for_ms: int) -> None:
-        """Let time pass; messages arrive in order."""
+        """Advance the time and deliver messages in order."""
         until_ms = self.now_ms + for_ms
         while self.now_ms < until_ms:
             self.now_ms += STEP_MS
@@ -186,7 +186,7 @@
                 self.deliver(0, False)
 
     def records_at(self, name: str) -> dict[str, int]:
-        """Return the hosts that a process takes for present."""
+        """Return the incarnation of each host present at a process."""
         records = self.nodes[name].members.records.present()
         return {record.host: record.incarnation for record in records}
 
@@ -214,10 +214,10 @@
 
 
 def test_restart_in_a_cut_off_domain_uses_seed_confirmations() -> None:
-    """A proxy restarts while its domain is cut off from control.
+    """A proxy restarts while its domain is cut off from the control host.
 
-    The leader can't tell it what was agreed. Two seeds that have lived on
-    can: among them is one that holds whatever was in force here.
+    The leader cannot confirm the newest revision. Two seeds that have not
+    restarted can: one of them holds any revision that was in force here.
     """
     net = Net()
     net.run(2000)
@@ -232,10 +232,11 @@
 
 
 def test_restarted_seeds_confirm_no_revision() -> None:
-    """Two of three seeds restart in a cut-off domain, then a proxy does.
+    """Two of three seeds and a proxy restart in a cut-off domain.
 
-    One seed with an older revision would answer first and the proxy would
-    go back. With too few words it serves nothing until control is back.
+    If a restarted seed with an older revision confirmed it, the proxy could
+    return to that one. With too few confirmations it does not serve until
+    the control host is reachable.
     """
     net = Net()
     net.run(2000)
@@ -253,10 +254,11 @@
 
 
 def test_restarted_proxy_rejects_a_single_stale_seed() -> None:
-    """A seed misses a revision, then a proxy that has it restarts beside it.
+    """A seed misses a revision, and a proxy that had it restarts.
 
-    Both are on the same side of a cut. The seed has lived on, so its word
-    counts, but one word of three proves nothing: the proxy had more.
+    Both are on the same side of a partition. The seed has not restarted, so
+    its confirmation counts, but one of three does not prove the floor: the
+    proxy had a newer revision in force.
     """
     net = Net()
     net.run(2000)
@@ -275,7 +277,7 @@
 
 
 def test_older_snapshot_does_not_replace_a_newer_revision() -> None:
-    """An update crosses on its way and arrives after a newer one."""
+    """A delta of the whole configuration arrives after a newer revision."""
     net = Net()
     net.run(2000)
     net.publish()
@@ -288,10 +290,10 @@
 
 
 def test_lone_seed_does_not_put_a_revision_in_force_at_once() -> None:
-    """A seed gets a revision and is cut off before it could pass it on.
+    """A seed receives a revision and is cut off before it can forward it.
 
-    If it put it in force, and restarted, its domain's other seeds would
-    give it the older one.
+    If it put the revision in force and then restarted, the other seeds of
+    its domain would send it the older one.
     """
     net = Net()
     net.run(2000)
@@ -320,9 +322,9 @@
 
 
 def test_probes_detect_a_seed_and_its_proxies_dying_together() -> None:
-    """A rack goes: a seed and the proxies that it watched.
+    """A rack fails with seeds and the proxies linked to them.
 
-    No link is left to notice the proxies; the probes find them.
+    No link is left to detect the failure of the proxies; probes detect it.
     """
     net = Net()
     net.run(3000)
@@ -345,10 +347,10 @@
 
 
 def test_isolated_control_host_declares_no_host_dead() -> None:
-    """A control host is cut off alone for a long time.
+    """A control host is isolated for a minute.
 
-    It reaches nobody. If it declared all dead, that would flood the fleet
-    when the cut heals, and every host would have to refute it.
+    If it declared all unreachable hosts dead, it would flood the fleet with
+    that when the partition heals, and every host would have to refute it.
     """
     net = Net()
     net.run(3000)
@@ -364,10 +366,10 @@
 
 
 def test_healed_partition_removes_no_host_from_routing() -> None:
-    """Control hosts hear each other and declare a cut-off domain dead.
+    """Control hosts reach each other and declare a cut-off domain dead.
 
-    The word reaches the domain when the cut heals. Its proxies see each
-    other all the time; none may vanish from another's records.
+    The records reach the domain when the partition heals. Its proxies were
+    linked throughout, so none may be removed from another's records.
     """
     net = Net()
     net.run(3000)
@@ -411,14 +413,14 @@
 
 
 def peers_sent_records(emitted: list[typing.Any]) -> list[str]:
-    """Return whom effects tell of records."""
+    """Return the peers that effects send records to."""
     sends = [effect for effect in emitted if isinstance(effect, common.Send)]
     kind = messages.RecordsDelta
     return [send.to for send in sends if isinstance(send.message, kind)]
 
 
 def test_record_update_is_sent_once_to_each_control_host() -> None:
-    """Linked each to each, they passed it on to each other again."""
+    """Each is linked to all others, and would get forwarded copies of it."""
     node = linked_control(["c1", "c2", "c3"], ["p1", "p2"])
     news = messages.HostRecord(
         "p9", "d", "r", "p9:1", 1, 1, messages.HostState.ALIVE, []
@@ -432,7 +434,7 @@
 
 
 def test_burst_of_record_updates_is_sent_in_one_message() -> None:
-    """Each host of a fleet that starts has news for each other one."""
+    """When a fleet starts, each host has updates for every other host."""
     node = linked_control(["c1"], ["p1", "p2"])
     emitted = []
     for number in range(30):
@@ -469,7 +471,7 @@
 
 
 def test_an_unchecked_revision_is_never_put_in_force() -> None:
-    """A delta brings a route to a service that is not there."""
+    """A delta contains a route to a service that does not exist."""
     net = Net()
     net.run(2000)
     net.publish()
@@ -488,10 +490,10 @@
 
 
 def test_reports_are_resent_to_a_new_leader() -> None:
-    """The leader dies; the next one must know what is in force where.
+    """After a change of leader the new one must know all revisions in force.
 
-    A report that was passed to the first is passed again to the next, not
-    only when its proxy refreshes it half a minute later.
+    A report already sent to the old leader is sent to the new one at once,
+    not only when its proxy refreshes it half a minute later.
     """
     record = messages.HostRecord(
         host="c1",
@@ -544,7 +546,7 @@
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Revisions never go down at any proxy, whatever happens."""
+    """The revision in force at a proxy never decreases under any faults."""
 
     hosts = st.sampled_from(HOSTS)
 
--- a/libs/fleet/tests/test_overlay.py
+++ b/libs/fleet/tests/test_overlay.py
@@ -1,4 +1,4 @@
-"""Whom processes link to when the settings name only a few hosts."""
+"""The links of processes whose settings name only a few control hosts."""
 
 import random
 import typing
@@ -34,7 +34,7 @@
 
 
 def test_proxy_moves_to_the_control_host_of_its_domain() -> None:
-    """It starts with two addresses, neither of its own failure domain."""
+    """The settings name two hosts, neither in its own failure domain."""
     links = overlay("p1")
     assert links.uplink in CONFIGURED
     links.linked(links.uplink, 0)
@@ -52,14 +52,14 @@
 
 
 def test_configured_control_hosts_stay_known() -> None:
-    """All that were listed may be gone; the settings lead back."""
+    """If all listed hosts are down, it can reconnect through the settings."""
     links = overlay("p1")
     links.update_controls(control_hosts(9, "c8", "c9"), 0)
     assert set(links.controls) == {"c1", "c2", "c8", "c9"}
 
 
 def test_new_control_host_dials_peers_that_do_not_know_it() -> None:
-    """A new control host has the greatest name, so nobody dials it."""
+    """A new control host whose name sorts last would never be dialled."""
     links = overlay("c9", control=True)
     assert links.wanted(extra=False, now_ms=0) == []
     later = links.wanted(extra=False, now_ms=overlays.UNKNOWN_PEER_DIAL_MS)
@@ -72,7 +72,7 @@
 
 
 def linked_proxy() -> tuple[nodes.Node, str, str]:
-    """Return a proxy linked to its control host, and both hosts' names."""
+    """Return a proxy, its uplink's name and the other control host's."""
     record = messages.HostRecord(
         "p1", "d1", "r", "p1:1", 1, 1, messages.HostState.ALIVE, []
     )
@@ -97,23 +97,24 @@
 
 
 def disconnected(emitted: list[typing.Any]) -> list[str]:
-    """Return the hosts that effects hang up on."""
+    """Return the hosts that effects disconnect."""
     return [e.host for e in emitted if isinstance(e, effects.Disconnect)]
 
 
 def receive_heartbeat(
     node: nodes.Node, peer: str, led: bool, now_ms: int
 ) -> list[typing.Any]:
-    """Let a peer's heartbeat arrive and time pass."""
+    """Deliver a heartbeat from a peer and run a tick."""
     message = messages.Heartbeat(0, 0, 0, led)
     return node.receive(peer, message, now_ms) + node.tick(now_ms)
 
 
 def test_proxy_dials_others_when_its_uplink_knows_no_leader() -> None:
-    """Its control host is cut off from the others, the proxy is not.
+    """The control host of a proxy is cut off from the other control hosts.
 
-    The link works, so the proxy served an old configuration until the cut
-    healed. Now it links to the others too, and lets go of them afterwards.
+    The link to it works, so without further links the proxy would serve an
+    old configuration until the partition heals. It links to the others for
+    that time and disconnects them afterwards.
     """
     node, uplink, other = linked_proxy()
     assert dialled(receive_heartbeat(node, uplink, True, 100)) == []
@@ -124,12 +125,12 @@
 
 
 def test_proxy_dials_others_when_its_uplink_is_unresponsive() -> None:
-    """Its control host freezes; a new configuration is accepted meanwhile.
+    """A control host freezes while a new configuration is accepted.
 
-    The frozen host neither answers nor closes the link, so its proxies
-    served the old configuration until the link counted as silent, 3.5 s
-    later. They link to the others after a missed heartbeat, and keep the
-    silent link in case its host wakes.
+    The frozen host neither answers nor closes the link, so its proxies would
+    serve the old configuration until the link times out after 3.5 s. They
+    link to the others after a missed heartbeat, and keep the unresponsive
+    link in case its host resumes.
     """
     node, uplink, other = linked_proxy()
     receive_heartbeat(node, uplink, True, 100)
@@ -142,11 +143,11 @@
 
 
 def test_floor_is_queried_as_soon_as_a_leader_is_known() -> None:
-    """All hosts lost power; a proxy is back before the control hosts agree.
+    """After a power failure a proxy starts before a leader is elected.
 
-    Its first question came before there was a leader and got no answer. The
-    next one was due 0.4 s later, and callers were refused meanwhile although
-    the leader could have told.
+    Its first floor query gets no reply, and the next regular one is due
+    0.4 s later. Callers would be refused until then although the leader
+    could already have replied.
     """
     node, uplink, _ = linked_proxy()
     node.config.floor.proved = False
@@ -162,13 +163,13 @@
 
 
 def test_one_missed_heartbeat_marks_a_link_unresponsive() -> None:
-    """One missed heartbeat is enough; the link itself stays longer."""
+    """The link itself is closed only after a longer silence."""
     assert nodes.HEARTBEAT_MS < nodes.UNRESPONSIVE_MS < 2 * nodes.HEARTBEAT_MS
     assert nodes.UNRESPONSIVE_MS < nodes.LINK_TIMEOUT_MS
 
 
 def proxy_about_to_move() -> tuple[nodes.Node, str]:
-    """Return a proxy that is about to move to its domain's control host."""
+    """Return a proxy about to move to its domain's host, and its uplink."""
     node, uplink, _ = linked_proxy()
     receive_heartbeat(node, uplink, True, 100)
     node.members.record.domain = node.overlay.domain = "d3"
@@ -179,9 +180,9 @@
 def test_old_uplink_stays_until_the_new_one_works() -> None:
     """A new proxy moves to the control host of its domain, which is frozen.
 
-    It hung up on the control host that served it and dialled the frozen one;
-    the dial took three seconds to fail, and meanwhile a configuration was
-    accepted that it did not hear of. Now it hangs up once the other answers.
+    The dial takes three seconds to fail. If the proxy disconnected its old
+    uplink first, it would miss a configuration accepted meanwhile. It
+    disconnects only once the new uplink answers.
     """
     node, old = proxy_about_to_move()
     now_ms = 200 + overlays.MOVE_DELAY_MS[1]
@@ -193,7 +194,7 @@
 
 
 def test_failed_move_keeps_the_old_uplink() -> None:
-    """The dial of the frozen host fails; the old link serves on."""
+    """The dial to the frozen host fails; the old uplink keeps serving."""
     node, old = proxy_about_to_move()
     receive_heartbeat(node, old, True, 200 + overlays.MOVE_DELAY_MS[1])
     node.unlinked("c3", 5000)
@@ -204,8 +205,8 @@
 def test_proxy_without_uplink_dials_the_other_control_hosts() -> None:
     """The link breaks, and the next control host does not answer the dial.
 
-    A dial to a host that is dark takes seconds to fail. After one second
-    without an uplink the others are dialled as well.
+    A dial to a host that does not answer takes seconds to fail. After one
+    second without an uplink the others are dialled as well.
     """
     node, uplink, other = linked_proxy()
     receive_heartbeat(node, uplink, True, 100)
@@ -216,10 +217,10 @@
 
 
 def test_reports_bypass_a_frozen_uplink() -> None:
-    """The uplink is frozen; a link to another control host is up.
+    """The uplink is frozen while another control host is linked.
 
-    Evidence on a bad version that went to the frozen host would reach the
-    leader only after it woke.
+    Evidence against a bad version sent to the frozen host would reach the
+    leader only after that host resumes.
     """
     node, uplink, other = linked_proxy()
     receive_heartbeat(node, uplink, True, 100)
