--- a/libs/fleet/src/trefoil_fleet/distribution.py
+++ b/libs/fleet/src/trefoil_fleet/distribution.py
@@ -141,7 +141,7 @@
         self.peer_lag_since_ms.pop(peer, None)
 
     def tick(self, links: list[str], now_ms: int) -> None:
-        """Run the periodic work: repair peers, query the floor, put in force.
+        """Repair peers, query the floor and put a due revision in force.
 
         Args:
             links: Names of the linked peers.
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -23,6 +23,7 @@
 # stalled. Links to other control hosts cost little compared with a stale
 # configuration, so this may be less certain than LINK_TIMEOUT_MS.
 UNRESPONSIVE_MS = 1800
+# Time without an uplink after which other control hosts are dialled as well.
 # A successful dial takes a round trip; one to a host that does not answer
 # takes seconds to fail.
 UPLINK_WAIT_MS = 1000
@@ -79,7 +80,7 @@
 class Node:
     """The fleet core of one process.
 
-    Methods that take an event return the effects that it causes.
+    Methods that return a list return the effects to perform, in order.
 
     Args:
         record: This host's record.
@@ -265,8 +266,8 @@
         if self.overlay.control_hosts.number:
             self._send(host, self.overlay.control_hosts)
         if host in (self.leader, self.overlay.uplink):
-            # The peer has not received what was reported while this link
-            # was down. Otherwise it would wait for the next refresh.
+            # Reports made while this link was down have not reached the
+            # peer. Without this they would arrive only with the next refresh.
             self.reports.resend_all()
         self._send(host, self._heartbeat())
         return self._flush()
@@ -396,10 +397,10 @@
         flood, self.members.flood = self.members.flood, []
         if flood:
             self._queue_updates(flood, "")
-        before = len(self.config.out)
+        effect_count = len(self.config.out)
         self.out.extend(self.config.out)
         self.config.out = []
-        if before:
+        if effect_count:
             self._after_config_change()
         out = self.out
         self.out = []
@@ -467,7 +468,7 @@
     def _is_control(self, host: str) -> bool:
         return host in self.overlay.controls
 
-    # Time
+    # Periodic work
 
     def _dial(self) -> None:
         extra = (
@@ -623,8 +624,8 @@
     def _compare_records(self, link: Link, digest: int) -> None:
         """Send a summary if records differ and none changed recently."""
         records = self.members.records
-        quiet = self.now_ms - records.last_change_ms >= RECORDS_STABLE_MS
-        if digest == records.digest or not quiet:
+        stable = self.now_ms - records.last_change_ms >= RECORDS_STABLE_MS
+        if digest == records.digest or not stable:
             link.mismatches = 0
             return
         link.mismatches += 1
@@ -651,13 +652,13 @@
         for start in range(0, len(newer), size):
             delta = messages.RecordsDelta(newer[start : start + size])
             self._send(peer, delta)
-        if summary.reply_wanted and self._lacks(summary):
+        if summary.reply_wanted and self._is_behind(summary):
             reply = records.summary(
                 self.now_ms, recent_only=False, reply_wanted=False
             )
             self._send(peer, reply)
 
-    def _lacks(self, summary: messages.RecordsSummary) -> bool:
+    def _is_behind(self, summary: messages.RecordsSummary) -> bool:
         unknown = (-1, -1, -1)
         for theirs in summary.versions:
             own = self.members.records.get(theirs.host)
