--- a/libs/fleet/src/trefoil_fleet/overlay.py
+++ b/libs/fleet/src/trefoil_fleet/overlay.py
@@ -20,8 +20,8 @@
 # listed. It is short, but random, so that proxies that receive the list at
 # the same time do not all move at once.
 MOVE_DELAY_MS = (300, 1500)
-# Long enough for the peer to dial first (one heartbeat and a round trip),
-# short compared with an election.
+# Long enough for the peer to dial first (one tick and a round trip), short
+# compared with an election.
 UNKNOWN_PEER_DIAL_MS = 400
 
 
--- a/libs/fleet/tests/test_floor.py
+++ b/libs/fleet/tests/test_floor.py
@@ -31,6 +31,7 @@
 
 
 def test_leader_reply_alone_proves_the_floor() -> None:
+    """A reply confirmed by the leader's quorum needs no second one."""
     floor = floors.Floor("p1", [])
     floor.add_reply("c1", 5, True)
     assert floor.reached_by(5)
--- a/libs/fleet/tests/test_node.py
+++ b/libs/fleet/tests/test_node.py
@@ -192,6 +192,7 @@
 
 
 def test_a_revision_is_in_force_everywhere() -> None:
+    """A new revision must reach all processes within 300 ms."""
     net = Net()
     net.run(3000)
     net.publish()
@@ -200,6 +201,7 @@
 
 
 def test_cut_off_domain_keeps_its_revision_and_catches_up() -> None:
+    """A partition must neither remove a configuration nor leave it stale."""
     net = Net()
     net.run(2000)
     net.publish()
@@ -234,9 +236,9 @@
 def test_restarted_seeds_confirm_no_revision() -> None:
     """Two of three seeds and a proxy restart in a cut-off domain.
 
-    If a restarted seed with an older revision confirmed it, the proxy could
-    return to that one. With too few confirmations it does not serve until
-    the control host is reachable.
+    If restarted seeds confirmed revisions, one with an older revision could
+    reply first and the proxy would return to it. With too few confirmations
+    it does not serve until the control host is reachable.
     """
     net = Net()
     net.run(2000)
@@ -312,6 +314,7 @@
 
 
 def test_death_of_a_host_is_known_everywhere() -> None:
+    """A broken link must lead to a death that reaches all processes."""
     net = Net()
     net.run(3000)
     net.crash("p1")
@@ -336,6 +339,7 @@
 
 
 def test_a_false_suspicion_is_refuted() -> None:
+    """A host suspected by mistake must stay present at all processes."""
     net = Net()
     net.run(3000)
     node = net.nodes["s1"]
@@ -451,6 +455,7 @@
 
 
 def test_a_drain_is_known_everywhere_within_three_seconds() -> None:
+    """A cut-off domain must still learn that a target is draining."""
     net = Net()
     net.run(3000)
     target = messages.TargetRecord(
@@ -534,6 +539,7 @@
 
 
 def test_serving_process_limits_joins() -> None:
+    """Peers beyond the burst must wait, each for a different time."""
     net = Net()
     node = net.nodes["s1"]
     waits = [
--- a/libs/fleet/tests/test_overlay.py
+++ b/libs/fleet/tests/test_overlay.py
@@ -45,6 +45,7 @@
 
 
 def test_an_older_list_changes_nothing() -> None:
+    """A delayed list must not remove a control host of a newer one."""
     links = overlay("p1")
     links.update_controls(control_hosts(9, "c1", "c2", "c3"), 0)
     assert not links.update_controls(control_hosts(8, "c1"), 0)
@@ -67,6 +68,7 @@
 
 
 def test_unproved_floor_links_to_every_control_host() -> None:
+    """Without a leader the floor needs confirmations of several voters."""
     links = overlay("p1")
     assert links.wanted(extra=True) == ["c1", "c2"]
 
