--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -126,7 +126,7 @@
     def suspect_unresponsive(
         self, last_received_ms: dict[str, int], now_ms: int
     ) -> None:
-        """Suspect unresponsive hosts, if this process hears from others.
+        """Suspect unresponsive hosts if messages arrive from other peers.
 
         A process that receives no messages is cut off itself. If it
         suspected hosts at once, an isolated control host would declare the
@@ -187,7 +187,7 @@
             self.out.append(effects.Probe(chosen.host, chosen.address))
 
     def _refute(self, seen: messages.HostRecord, now_ms: int) -> None:
-        """Publish a newer record when a peer reports another of this host."""
+        """Publish a newer record if a peer's record of this host is newer."""
         own = self.record
         if record_store.version_of(seen) <= record_store.version_of(own):
             return
