--- a/libs/fleet/src/trefoil_fleet/distribution.py
+++ b/libs/fleet/src/trefoil_fleet/distribution.py
@@ -1,8 +1,9 @@
-"""The configuration's way to this process: held, witnessed, in force.
+"""Distribution of the configuration to this process.
 
-A revision only ever goes up here. It is held once its whole has been
-checked, and put in force in one step when the floor is reached and, at a
-seed, when a majority of the domain's seeds hold it.
+The revision of a process never decreases. A new revision is first held,
+once it has been validated as a whole. It is put in force in one step when it
+is at or above the floor and, at a seed, when a majority of the domain's
+seeds hold it.
 """
 
 import typing
@@ -15,20 +16,22 @@
 from . import floor as floors
 from . import items as item_store
 
-WITNESS_MS = 1000
-LAZY_MS = 500
-PULL_PAUSE_MS = 300
-FLOOR_PAUSE_MS = 400
+MAJORITY_WAIT_MS = 1000
+REPAIR_DELAY_MS = 500
+PULL_INTERVAL_MS = 300
+FLOOR_QUERY_INTERVAL_MS = 400
 
 
 class Distribution:
     """One process's copy of the configuration.
 
     Args:
-        floor: The proof that a restart forgot nothing.
-        is_seed: Whether this process witnesses for its failure domain.
+        floor: The minimum revision that may be in force, and its proof.
+        is_seed: Whether this process is a seed of its failure domain, and
+            confirms the revisions it holds.
         other_seeds: Names of the domain's other seeds.
-        control: Whether the agreement publishes here.
+        control: Whether this is a control process, which gets the
+            configuration from Raft.
     """
 
     __slots__ = (
@@ -37,14 +40,14 @@
         "other_seeds",
         "control",
         "held",
-        "held_ms",
+        "held_since_ms",
         "in_force",
         "rejected",
         "rejected_revision",
         "peer_held",
-        "peer_lag_ms",
-        "pulled_ms",
-        "asked_floor_ms",
+        "peer_lag_since_ms",
+        "last_pull_ms",
+        "floor_queried_ms",
         "out",
     )
 
@@ -61,63 +64,71 @@
         self.other_seeds = other_seeds
         self.control = control
         self.held = item_store.Items()
-        self.held_ms = 0
+        self.held_since_ms = 0
         self.in_force = item_store.Items()
         self.rejected = ""
         self.rejected_revision = 0
         self.peer_held: dict[str, int] = {}
-        self.peer_lag_ms: dict[str, int] = {}
-        self.pulled_ms: dict[str, int] = {}
-        self.asked_floor_ms = 0
+        self.peer_lag_since_ms: dict[str, int] = {}
+        self.last_pull_ms: dict[str, int] = {}
+        self.floor_queried_ms = 0
         self.out: list[typing.Any] = []
 
     # Input
 
     def publish(self, items: item_store.Items, now_ms: int) -> None:
-        """Hold what the agreement just made (control processes)."""
+        """Hold a revision that Raft just committed (control processes)."""
         if items.revision > self.held.revision:
             self._hold(items, now_ms)
 
     def on_delta(
         self, peer: str, delta: messages.ConfigDelta, now_ms: int
     ) -> None:
-        """Take a delta from a peer."""
-        self._note_peer(peer, delta.revision, now_ms)
+        """Hold the revision in a delta from a peer, if it is valid."""
+        self._record_peer_revision(peer, delta.revision, now_ms)
         if delta.revision <= max(self.held.revision, self.rejected_revision):
             return
-        made = self.held.with_delta(delta)
-        if made is None:
-            # The base is ahead of what is held here, or the copies differ:
-            # applying it would leave a mixture of two revisions in force.
+        candidate = self.held.with_delta(delta)
+        if candidate is None:
+            # The delta's base is ahead of the revision held here, or the two
+            # copies differ. Applying it would put a mixture of two revisions
+            # in force.
             self._pull(peer, now_ms, whole=delta.base <= self.held.revision)
             return
-        found = check.problems(made)
-        if found:
-            self.rejected = "; ".join(found)
-            self.rejected_revision = made.revision
+        problems = check.find_problems(candidate)
+        if problems:
+            self.rejected = "; ".join(problems)
+            self.rejected_revision = candidate.revision
             self.out.append(
                 common.Note(
                     "config.rejected",
-                    {"revision": made.revision, "why": self.rejected},
+                    {"revision": candidate.revision, "why": self.rejected},
                     "error",
                 )
             )
             return
-        self._hold(made, now_ms)
+        self._hold(candidate, now_ms)
 
     def on_pull(self, peer: str, pull: messages.ConfigPull) -> None:
-        """Give a peer what it lacks."""
-        offer = self._offer(peer)
-        if offer.revision > pull.have or pull.whole:
+        """Send a peer the items that it lacks."""
+        available = self._items_for(peer)
+        if available.revision > pull.have or pull.whole:
             base = 0 if pull.whole else pull.have
-            self.out.append(common.Send(peer, offer.delta_since(base)))
-            self.peer_held[peer] = offer.revision
+            self.out.append(common.Send(peer, available.delta_since(base)))
+            self.peer_held[peer] = available.revision
 
     def on_peer_revision(
         self, peer: str, revision: int, digest: int, now_ms: int
     ) -> None:
-        """Note what a peer holds, as its heartbeat or notice tells."""
-        self._note_peer(peer, revision, now_ms)
+        """Record the revision that a peer reports, and pull if it is newer.
+
+        Args:
+            peer: Name of the peer.
+            revision: The revision in its heartbeat or notice.
+            digest: Digest of the configuration it holds, 0 if not given.
+            now_ms: The time on the runtime's clock.
+        """
+        self._record_peer_revision(peer, revision, now_ms)
         if revision > max(self.held.revision, self.rejected_revision):
             self._pull(peer, now_ms)
         elif revision == self.held.revision and digest:
@@ -125,80 +136,90 @@
                 self._pull(peer, now_ms, whole=True)
 
     def drop_peer(self, peer: str) -> None:
-        """Forget what a peer held; its next life may hold less."""
+        """Remove a peer's revision; a restarted peer may hold an older one."""
         self.peer_held.pop(peer, None)
-        self.peer_lag_ms.pop(peer, None)
+        self.peer_lag_since_ms.pop(peer, None)
 
     def tick(self, links: list[str], now_ms: int) -> None:
-        """Repair peers that lag, put in force what is due."""
+        """Repair peers, query the floor and put a due revision in force.
+
+        Args:
+            links: Names of the linked peers.
+            now_ms: The time on the runtime's clock.
+        """
         for peer in links:
             self._repair(peer, now_ms)
-        due_ms = self.asked_floor_ms + FLOOR_PAUSE_MS
+        due_ms = self.floor_queried_ms + FLOOR_QUERY_INTERVAL_MS
         if links and not self.floor.proved and now_ms >= due_ms:
-            self.asked_floor_ms = now_ms
-            self._ask_floor(links)
-        self._settle(now_ms)
+            self.floor_queried_ms = now_ms
+            self._query_floor(links)
+        self._put_in_force_if_due(now_ms)
 
     # Floor
 
-    def ask_floor_of(self, peer: str) -> None:
-        """Ask a peer at once, if there is still no proof.
+    def query_floor_if_unproved(self, peer: str) -> None:
+        """Query a peer at once if the floor is not proved yet.
 
-        A proxy that waits for its next turn refuses its callers meanwhile.
+        Until it is proved a proxy refuses its callers, so it does not wait
+        for the next regular query.
         """
         if not self.floor.proved:
-            self._ask_floor([peer])
+            self._query_floor([peer])
 
-    def _ask_floor(self, links: list[str]) -> None:
+    def _query_floor(self, links: list[str]) -> None:
         query = messages.FloorQuery(nonce=0, host=self.floor.me)
         for peer in links:
             self.out.append(common.Send(peer, query))
 
-    def own_word(self) -> int:
-        """Return the revision this seed vouches for, -1 for none."""
+    def confirmed_revision(self) -> int:
+        """Return the revision that this seed confirms, -1 for none."""
         if not self.is_seed or not self.floor.proved:
             return -1
         return self.held.revision
 
     def on_floor_reply(self, reply: messages.FloorReply, now_ms: int) -> None:
-        """Take a word about the floor."""
-        self.floor.hear(
+        """Add a reply to a floor query."""
+        self.floor.add_reply(
             reply.host, reply.revision, reply.certain, reply.voters or ()
         )
-        self._settle(now_ms)
+        self._put_in_force_if_due(now_ms)
 
     # Holding and putting in force
 
-    def _hold(self, made: item_store.Items, now_ms: int) -> None:
-        self.held = made
-        self.held_ms = now_ms
-        self._settle(now_ms)
-        if self.is_seed and self.in_force.revision < made.revision:
+    def _hold(self, candidate: item_store.Items, now_ms: int) -> None:
+        self.held = candidate
+        self.held_since_ms = now_ms
+        self._put_in_force_if_due(now_ms)
+        if self.is_seed and self.in_force.revision < candidate.revision:
             notice = messages.HeldNotice(
-                host=self.floor.me, revision=made.revision
+                host=self.floor.me, revision=candidate.revision
             )
             for peer in self.other_seeds:
                 self.out.append(common.Send(peer, notice))
 
-    def _settle(self, now_ms: int) -> None:
+    def _put_in_force_if_due(self, now_ms: int) -> None:
         held = self.held
         if held.revision <= self.in_force.revision:
             return
         if not self.floor.reached_by(held.revision):
             return
-        if not self._witnessed() and now_ms < self.held_ms + WITNESS_MS:
+        if (
+            not self._held_by_majority()
+            and now_ms < self.held_since_ms + MAJORITY_WAIT_MS
+        ):
             return
         self.in_force = held
         self.rejected = ""
         self.out.append(effects.PutInForce(held))
 
-    def _witnessed(self) -> bool:
-        """Tell whether a majority of the domain's seeds hold what is held.
+    def _held_by_majority(self) -> bool:
+        """Return whether a majority of the domain's seeds hold the revision.
 
-        A lone seed that put a revision in force, was cut off with its
-        domain and then restarted would come back to an older one. After
-        ``WITNESS_MS`` the revision goes in force all the same: with most
-        seeds away, callers waiting on it matter more than that rare chain.
+        Suppose a lone seed put a revision in force, was cut off with its
+        domain and then restarted: it would return to an older one. After
+        ``MAJORITY_WAIT_MS`` the revision is put in force without a majority:
+        when most seeds are down, callers that wait for it matter more than
+        that rare sequence of faults.
         """
         if not self.is_seed:
             return True
@@ -211,22 +232,24 @@
 
     # Peers
 
-    def _offer(self, peer: str) -> item_store.Items:
-        """Return what a peer may be given.
+    def _items_for(self, peer: str) -> item_store.Items:
+        """Return the configuration that a peer may be sent.
 
-        Seeds exchange what they hold, to witness it; everybody else gets
-        only what is witnessed and in force.
+        Seeds send each other the revision they hold, so that a majority can
+        hold it. All other peers get only the revision in force.
         """
         between_seeds = self.is_seed and peer in self.other_seeds
         return self.held if between_seeds else self.in_force
 
-    def _note_peer(self, peer: str, revision: int, now_ms: int) -> None:
+    def _record_peer_revision(
+        self, peer: str, revision: int, now_ms: int
+    ) -> None:
         if revision > self.peer_held.get(peer, 0):
             self.peer_held[peer] = revision
-            self._settle(now_ms)
+            self._put_in_force_if_due(now_ms)
 
     def push(self, peers: list[str]) -> None:
-        """Send what just came in force to the peers served from here."""
+        """Send the revision just put in force to peers with an older one."""
         for peer in peers:
             known = self.peer_held.get(peer)
             if known is None or known >= self.in_force.revision:
@@ -237,27 +260,30 @@
             self.peer_held[peer] = self.in_force.revision
 
     def _repair(self, peer: str, now_ms: int) -> None:
-        """Push to a peer that has lagged for a while.
+        """Send a delta to a peer that has lagged for ``REPAIR_DELAY_MS``.
 
-        The eager push goes down the tree only; this catches peers whose
-        own giver was slow or lost, without sending every change twice.
+        ``push`` sends only down the tree. This reaches peers whose own
+        uplink was slow or failed, without sending every change twice.
         """
-        offer = self._offer(peer)
+        available = self._items_for(peer)
         known = self.peer_held.get(peer)
-        if known is None or known >= offer.revision:
-            self.peer_lag_ms.pop(peer, None)
+        if known is None or known >= available.revision:
+            self.peer_lag_since_ms.pop(peer, None)
             return
-        since = self.peer_lag_ms.setdefault(peer, now_ms)
-        if now_ms - since >= LAZY_MS:
-            self.out.append(common.Send(peer, offer.delta_since(known)))
-            self.peer_lag_ms[peer] = now_ms
+        since = self.peer_lag_since_ms.setdefault(peer, now_ms)
+        if now_ms - since >= REPAIR_DELAY_MS:
+            self.out.append(common.Send(peer, available.delta_since(known)))
+            self.peer_lag_since_ms[peer] = now_ms
 
     def _pull(self, peer: str, now_ms: int, *, whole: bool = False) -> None:
         if self.control:
             return
-        if now_ms < self.pulled_ms.get(peer, -PULL_PAUSE_MS) + PULL_PAUSE_MS:
+        if (
+            now_ms
+            < self.last_pull_ms.get(peer, -PULL_INTERVAL_MS) + PULL_INTERVAL_MS
+        ):
             return
-        self.pulled_ms[peer] = now_ms
+        self.last_pull_ms[peer] = now_ms
         have = 0 if whole else self.held.revision
         pull = messages.ConfigPull(have=have, whole=whole)
         self.out.append(common.Send(peer, pull))
--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet: this host's record, suspicion and refutation."""
+"""Host membership: this host's record, suspicion and refutation."""
 
 import random
 import typing
@@ -16,24 +16,24 @@
 
 
 class Membership:
-    """This process's view of the hosts.
+    """This process's view of the hosts in the fleet.
 
     Args:
-        record: This host's own record; control processes have none that
-            others need, and pass one without targets.
+        record: This host's own record. Other hosts do not need that of a
+            control process, which passes one without targets.
         control: Whether this is a control process.
-        prober: Whether this process probes hosts that nobody may watch.
-        rng: Draws whom to probe.
+        probes: Whether this process probes hosts that it has no link to.
+        rng: Draws the host to probe.
     """
 
     __slots__ = (
         "record",
         "control",
-        "prober",
+        "probes",
         "rng",
         "records",
         "probe_at_ms",
-        "doubts",
+        "unresponsive_since_ms",
         "out",
         "flood",
     )
@@ -43,21 +43,21 @@
         record: messages.HostRecord,
         *,
         control: bool,
-        prober: bool,
+        probes: bool,
         rng: random.Random,
     ) -> None:
         self.record = record
         self.control = control
-        self.prober = prober
+        self.probes = probes
         self.rng = rng
         self.records = record_store.Records()
         self.probe_at_ms = 0
-        self.doubts: dict[str, int] = {}
+        self.unresponsive_since_ms: dict[str, int] = {}
         self.out: list[typing.Any] = []
         self.flood: list[messages.HostRecord] = []
 
     def start(self, now_ms: int) -> None:
-        """Enter the own record."""
+        """Publish this host's record, unless this is a control process."""
         if not self.control:
             self._publish_own(now_ms)
 
@@ -66,33 +66,36 @@
     ) -> None:
         """Publish the targets of this host."""
         if targets != self.record.targets:
-            self._bump(now_ms, targets=targets)
+            self._publish_next_version(now_ms, targets=targets)
 
     def leave(self, now_ms: int) -> None:
-        """Say that this host leaves."""
-        self._bump(now_ms, targets=[], state=State.LEFT)
+        """Announce that this host leaves the fleet."""
+        self._publish_next_version(now_ms, targets=[], state=State.LEFT)
 
     def on_delta(
         self, delta: messages.RecordsDelta, now_ms: int
     ) -> list[messages.HostRecord]:
-        """Take records; return those that are news here."""
-        news = []
-        for record in map(self._soften, delta.records):
+        """Store records from a peer and return those that are newer here."""
+        updates = []
+        for record in map(self._death_as_suspicion, delta.records):
             if record.host == self.record.host and not self.control:
                 self._refute(record, now_ms)
             elif self.records.put(record, now_ms):
-                news.append(record)
-        if news:
-            hosts = [record.host for record in news]
+                updates.append(record)
+        if updates:
+            hosts = [record.host for record in updates]
             self.out.append(effects.RecordsChanged(hosts))
-        return news
+        return updates
 
-    def _soften(self, record: messages.HostRecord) -> messages.HostRecord:
-        """Take another side's word of a death as a suspicion first.
+    def _death_as_suspicion(
+        self, record: messages.HostRecord
+    ) -> messages.HostRecord:
+        """Turn a reported death of a host that is alive here into a suspicion.
 
-        When a cut heals, each side has declared the other dead. Believed at
-        once, that would take every target out of routing until its host
-        has refuted it, and callers would see refusals for a second.
+        When a network partition heals, each side has declared the other
+        dead. If that were accepted at once, every target would be removed
+        from routing until its host refuted it, and callers would be refused
+        for a second.
         """
         own = self.records.get(record.host)
         if record.state != State.DEAD or own is None:
@@ -105,41 +108,45 @@
             return record_store.with_state(record, State.SUSPECT)
         return record
 
-    def doubt(self, host: str, now_ms: int) -> None:
-        """Doubt a host whose link broke or whose probe failed."""
-        self.doubts.setdefault(host, now_ms)
+    def mark_unresponsive(self, host: str, now_ms: int) -> None:
+        """Record that a host's link broke or that its probe failed."""
+        self.unresponsive_since_ms.setdefault(host, now_ms)
 
-    def trust(self, host: str) -> None:
-        """Drop a doubt: the host was heard."""
-        self.doubts.pop(host, None)
+    def mark_responsive(self, host: str) -> None:
+        """Record that a host answered."""
+        self.unresponsive_since_ms.pop(host, None)
 
-    def probed(self, host: str, answered: bool, now_ms: int) -> None:
-        """Take a probe's outcome."""
+    def on_probe_result(self, host: str, answered: bool, now_ms: int) -> None:
+        """Record the result of a probe."""
         if answered:
-            self.trust(host)
+            self.mark_responsive(host)
         else:
-            self.doubt(host, now_ms)
+            self.mark_unresponsive(host, now_ms)
 
-    def settle_doubts(self, heard_ms: dict[str, int], now_ms: int) -> None:
-        """Suspect the hosts in doubt, if this process hears others.
+    def suspect_unresponsive(
+        self, last_received_ms: dict[str, int], now_ms: int
+    ) -> None:
+        """Suspect unresponsive hosts if messages arrive from other peers.
 
-        A process that hears nobody is itself cut off. Were it to suspect at
-        once, a control host on the far side of a cut would declare the
-        fleet dead and flood that when the cut heals, for every host to
-        refute. A peer heard after the doubt arose shows that it is not.
+        A process that receives no messages is cut off itself. If it
+        suspected hosts at once, an isolated control host would declare the
+        whole fleet dead and flood that when the partition heals, and every
+        host would have to refute it. A message from another peer after the
+        host became unresponsive shows that this process is not cut off.
 
         Args:
-            heard_ms: When each linked peer was last heard.
+            last_received_ms: When the last message of each linked peer
+                arrived.
             now_ms: The time on the runtime's clock.
         """
-        for host, since_ms in list(self.doubts.items()):
-            heard = any(
-                at_ms > since_ms
-                for peer, at_ms in heard_ms.items()
+        for host, since_ms in list(self.unresponsive_since_ms.items()):
+            receives_from_others = any(
+                received_ms > since_ms
+                for peer, received_ms in last_received_ms.items()
                 if peer != host
             )
-            if heard:
-                del self.doubts[host]
+            if receives_from_others:
+                del self.unresponsive_since_ms[host]
                 self._suspect(host, now_ms)
 
     def _suspect(self, host: str, now_ms: int) -> None:
@@ -150,21 +157,22 @@
             self.out.append(common.Note("member.suspect", {"peer": host}))
 
     def tick(self, linked: set[str], now_ms: int) -> None:
-        """Expire suspects, probe one host that is not linked here."""
+        """Expire suspected hosts and probe one host without a link."""
         changed = self.records.expire(now_ms)
         if changed:
             self.out.append(effects.RecordsChanged(changed))
             for host in changed:
                 self.out.append(common.Note("member.dead", {"peer": host}))
-        if self.prober and now_ms >= self.probe_at_ms:
+        if self.probes and now_ms >= self.probe_at_ms:
             self.probe_at_ms = now_ms + PROBE_MS
             self._probe(linked)
 
     def _probe(self, linked: set[str]) -> None:
-        """Probe a host at random.
+        """Probe a random host that has no link to this process.
 
-        A seed and the proxies it watches can die together, with a rack; no
-        link is then left to notice, and their records would stay for ever.
+        A seed and the proxies linked to it can fail together, for example
+        with a rack. No link is then left to detect it, and without probes
+        their records would never expire.
         """
         candidates = [
             record
@@ -179,17 +187,17 @@
             self.out.append(effects.Probe(chosen.host, chosen.address))
 
     def _refute(self, seen: messages.HostRecord, now_ms: int) -> None:
-        """Answer a record of this host that is not the own one."""
+        """Publish a newer record if a peer's record of this host is newer."""
         own = self.record
         if record_store.version_of(seen) <= record_store.version_of(own):
             return
         if seen.incarnation > own.incarnation:
             own.incarnation = seen.incarnation + 1
         own.sequence = max(own.sequence, seen.sequence)
-        self._bump(now_ms)
+        self._publish_next_version(now_ms)
         self.out.append(common.Note("member.refuted", {"seen": seen.state}))
 
-    def _bump(
+    def _publish_next_version(
         self,
         now_ms: int,
         *,
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -1,4 +1,4 @@
-"""The fleet core of one process: links, heartbeats and what they carry."""
+"""The fleet core of one process: links, heartbeats and their messages."""
 
 import dataclasses
 import functools
@@ -18,32 +18,34 @@
 from . import reports as report_store
 
 HEARTBEAT_MS = 1000
-SILENT_MS = 3500
-# A heartbeat that is nearly one more late: lost, or its sender stands still.
-# Links to other control hosts are cheap beside a stale configuration, so
-# this need not be as sure as SILENT_MS.
-DOUBT_MS = 1800
-# A dial takes a round trip; one to a host that is dark takes seconds to fail.
-UNLINKED_MS = 1000
+LINK_TIMEOUT_MS = 3500
+# Close to two heartbeat intervals: one heartbeat was lost, or its sender has
+# stalled. Links to other control hosts cost little compared with a stale
+# configuration, so this may be less certain than LINK_TIMEOUT_MS.
+UNRESPONSIVE_MS = 1800
+# Time without an uplink after which other control hosts are dialled as well.
+# A successful dial takes a round trip; one to a host that does not answer
+# takes seconds to fail.
+UPLINK_WAIT_MS = 1000
 REPORT_FLUSH_MS = 100
-# News that comes sooner after the last waits for this long, to go in one
-# message with what else comes: when a fleet starts, each of its hosts has news
-# for each other one several times within seconds.
-NEWS_PAUSE_MS = 100
-SUMMARY_PAUSE_MS = 5000
-QUIET_MS = 1500
-FLOOR_RELAYS = 256
+# Record updates that arrive within this time of the last message are sent
+# together in the next one: when a fleet starts, each host has updates for
+# every other host several times within seconds.
+UPDATE_BATCH_MS = 100
+SUMMARY_INTERVAL_MS = 5000
+RECORDS_STABLE_MS = 1500
+MAX_FLOOR_RELAYS = 256
 JOINS_PER_S = 50
 JOIN_BURST = 50
 
 
 @dataclasses.dataclass(slots=True)
-class News:
-    """A record to pass on.
+class RecordUpdate:
+    """A record to forward to peers.
 
     Args:
         record: The record.
-        source: The peer that told it, empty for this process itself.
+        source: The peer that sent it, empty for this process itself.
     """
 
     record: messages.HostRecord
@@ -58,21 +60,27 @@
         host: The peer's name.
         control: Whether the peer is a control process.
         served: Whether the peer dialled this process as its uplink.
-        heard_ms: When the peer last said anything.
+        last_received_ms: When the last message from the peer arrived.
+        led: Whether the peer knows of a leader.
+        summary_ms: When a summary of records was last sent to the peer.
+        mismatches: Successive heartbeats with another digest of records.
+        disconnecting: Whether this process has asked to close the link.
     """
 
     host: str
     control: bool
     served: bool
-    heard_ms: int
+    last_received_ms: int
     led: bool = True
     summary_ms: int = 0
     mismatches: int = 0
-    hung_up: bool = False
+    disconnecting: bool = False
 
 
 class Node:
-    """The fleet core.
+    """The fleet core of one process.
+
+    Methods that return a list return the effects to perform, in order.
 
     Args:
         record: This host's record.
@@ -81,7 +89,7 @@
         controls: Address of each control process by name.
         now_ms: The time on the runtime's clock.
         rng: Draws jitter and probes.
-        joins_per_s: How many joining peers this process serves a second.
+        joins_per_s: How many joining peers this process accepts a second.
     """
 
     __slots__ = (
@@ -97,8 +105,8 @@
         "heartbeat_at_ms",
         "report_at_ms",
         "refresh_at_ms",
-        "news",
-        "news_at_ms",
+        "updates",
+        "updates_due_ms",
         "floor_relays",
         "floor_nonce",
         "join_tokens",
@@ -106,7 +114,7 @@
         "joins_per_s",
         "leader",
         "led",
-        "uplinked_ms",
+        "uplink_linked_ms",
         "old_uplink",
         "rng",
         "out",
@@ -136,7 +144,7 @@
         self.members = memberships.Membership(
             record,
             control=control,
-            prober=control or self.me in seeds,
+            probes=control or self.me in seeds,
             rng=rng,
         )
         self.config = distributions.Distribution(
@@ -152,8 +160,8 @@
         self.heartbeat_at_ms = now_ms
         self.report_at_ms = now_ms
         self.refresh_at_ms = now_ms
-        self.news: dict[str, News] = {}
-        self.news_at_ms = now_ms
+        self.updates: dict[str, RecordUpdate] = {}
+        self.updates_due_ms = now_ms
         self.floor_relays: dict[int, messages.FloorQuery] = {}
         self.floor_nonce = 0
         self.join_tokens = float(JOIN_BURST)
@@ -161,43 +169,48 @@
         self.joins_per_s = joins_per_s
         self.leader = ""
         self.led = True
-        self.uplinked_ms = now_ms
+        self.uplink_linked_ms = now_ms
         self.old_uplink = ""
         self.rng = rng
         self.out: list[typing.Any] = []
         self.members.start(now_ms)
 
-    # Facts
+    # State
 
     @property
     def ready(self) -> bool:
-        """Tell whether a configuration is in force here."""
+        """Return whether a configuration is in force here."""
         return self.config.in_force.revision > 0
 
     @property
-    def above(self) -> str:
-        """Return the linked peer that reports go to, empty without one.
+    def report_peer(self) -> str:
+        """Return the linked peer that reports are sent to, empty without one.
 
-        The uplink, unless it says nothing or hears of no leader: what it is
-        told then reaches the leader late, and a move is judged without it.
+        This is the uplink, unless it is unresponsive or knows no leader:
+        reports sent to it would then reach the leader late, and the versions
+        of a move would be compared without them.
         """
         ranked = [self.overlay.uplink, self.old_uplink]
         ranked += [link.host for link in self.links.values() if link.control]
         linked = [host for host in ranked if host in self.links]
-        sound = [host for host in linked if self._is_sound(self.links[host])]
-        return next(iter(sound + linked), "")
-
-    def _is_sound(self, link: Link) -> bool:
-        return link.led and self.now_ms - link.heard_ms < DOUBT_MS
+        responsive = [
+            host for host in linked if self._is_responsive(self.links[host])
+        ]
+        return next(iter(responsive + linked), "")
+
+    def _is_responsive(self, link: Link) -> bool:
+        return (
+            link.led and self.now_ms - link.last_received_ms < UNRESPONSIVE_MS
+        )
 
-    def is_far(self, host: str) -> bool:
-        """Tell whether a host is known to be in another failure domain."""
+    def is_cross_domain(self, host: str) -> bool:
+        """Return whether a host is known to be in another failure domain."""
         record = self.members.records.get(host)
         domain = record.domain if record else self.overlay.domains.get(host)
         return bool(domain) and domain != self.members.record.domain
 
     def hello(self) -> messages.Hello:
-        """Return the greeting for a subscribed link."""
+        """Return the hello message for a subscribed link."""
         return messages.Hello(
             host=self.me,
             domain=self.members.record.domain,
@@ -211,20 +224,21 @@
     # Links
 
     def admit(self, hello: messages.Hello, now_ms: int) -> int:
-        """Decide on a peer that dialled in.
+        """Decide whether to serve a peer that dialled this process.
 
         Returns:
-            0 to serve it, else how long it should wait, in milliseconds.
+            0 to serve it, otherwise the time it should wait, in
+            milliseconds.
         """
         gained = (now_ms - self.join_ms) * self.joins_per_s / 1000
         self.join_tokens = min(self.join_tokens + gained, float(JOIN_BURST))
         self.join_ms = now_ms
-        peer_role = hello.control or hello.host in self.overlay.seeds
-        if self.join_tokens >= 1 or peer_role:
+        exempt = hello.control or hello.host in self.overlay.seeds
+        if self.join_tokens >= 1 or exempt:
             self.join_tokens -= 1
             return 0
-        # Serving a whole herd at once would starve the heartbeats of those
-        # that are linked, and they would leave and join the herd.
+        # Serving many joining peers at once would delay the heartbeats of
+        # linked peers, which would then disconnect and join again as well.
         wait_ms = 1000 + 1000 * abs(self.join_tokens) / self.joins_per_s
         return int(wait_ms * self.rng.uniform(0.5, 1.5))
 
@@ -237,45 +251,45 @@
         revision: int,
         now_ms: int,
     ) -> list[typing.Any]:
-        """Note a link that is up on both sides."""
+        """Add a link that is established on both sides."""
         self.now_ms = now_ms
         self.links[host] = Link(host, control, served, now_ms)
         self.overlay.linked(host, now_ms)
-        self.members.trust(host)
+        self.members.mark_responsive(host)
         self.config.peer_held[host] = revision
-        self.config.ask_floor_of(host)
+        self.config.query_floor_if_unproved(host)
         if not served:
             summary = self.members.records.summary(
                 now_ms, recent_only=False, reply_wanted=True
             )
             self._send(host, summary)
-        if self.overlay.listed.number:
-            self._send(host, self.overlay.listed)
+        if self.overlay.control_hosts.number:
+            self._send(host, self.overlay.control_hosts)
         if host in (self.leader, self.overlay.uplink):
-            # What was reported while this link was away would else stay
-            # unknown on its far side until the next refresh.
-            self.reports.pass_again()
+            # Reports made while this link was down have not reached the
+            # peer. Without this they would arrive only with the next refresh.
+            self.reports.resend_all()
         self._send(host, self._heartbeat())
         return self._flush()
 
     def unlinked(
         self, host: str, now_ms: int, retry_after_ms: int = 0
     ) -> list[typing.Any]:
-        """Note a link that broke, or a dial that failed or was refused."""
+        """Remove a link that broke, or record a failed or refused dial."""
         self.now_ms = now_ms
         was_linked = self.links.pop(host, None) is not None
         self.config.drop_peer(host)
         self.overlay.failed(host, now_ms, retry_after_ms)
         if was_linked and not self._is_control(host):
-            self.members.doubt(host, now_ms)
+            self.members.mark_unresponsive(host, now_ms)
         return self._flush()
 
-    def probed(
+    def on_probe_result(
         self, host: str, answered: bool, now_ms: int
     ) -> list[typing.Any]:
-        """Take a probe's outcome."""
+        """Record the result of a probe."""
         self.now_ms = now_ms
-        self.members.probed(host, answered, now_ms)
+        self.members.on_probe_result(host, answered, now_ms)
         return self._flush()
 
     # Input
@@ -283,41 +297,41 @@
     def receive(
         self, peer: str, message: typing.Any, now_ms: int
     ) -> list[typing.Any]:
-        """Take a message from a linked peer."""
+        """Handle a message from a linked peer."""
         self.now_ms = now_ms
         link = self.links.get(peer)
         if link is not None:
-            link.heard_ms = now_ms
+            link.last_received_ms = now_ms
         handle(message, self, peer)
         return self._flush()
 
     def publish(
         self, items: item_store.Items, now_ms: int
     ) -> list[typing.Any]:
-        """Distribute what the agreement made (control processes)."""
+        """Distribute a revision that Raft committed (control processes)."""
         self.now_ms = now_ms
         self.config.publish(items, now_ms)
         return self._flush()
 
-    def meet(self, hello: messages.Hello) -> None:
-        """Note the greeting of a control process."""
-        self.overlay.meet(hello)
+    def on_hello(self, hello: messages.Hello) -> None:
+        """Add the control process that sent a hello."""
+        self.overlay.on_hello(hello)
 
-    def list_controls(
-        self, listed: messages.ControlHosts, now_ms: int
+    def update_controls(
+        self, control_hosts: messages.ControlHosts, now_ms: int
     ) -> list[typing.Any]:
-        """Take a newer list of control hosts and pass it on."""
+        """Use a newer list of control hosts and forward it."""
         self.now_ms = now_ms
-        self._learn_controls(listed, "")
+        self._update_controls(control_hosts, "")
         return self._flush()
 
-    def _learn_controls(
-        self, listed: messages.ControlHosts, source: str
+    def _update_controls(
+        self, control_hosts: messages.ControlHosts, source: str
     ) -> None:
-        if not self.overlay.learn(listed, self.now_ms):
+        if not self.overlay.update_controls(control_hosts, self.now_ms):
             return
-        for peer in self._onward(source):
-            self._send(peer, listed)
+        for peer in self._forward_peers(source):
+            self._send(peer, control_hosts)
 
     def set_targets(
         self, targets: list[messages.TargetRecord], now_ms: int
@@ -328,46 +342,48 @@
         return self._flush()
 
     def leave(self, now_ms: int) -> list[typing.Any]:
-        """Say that this host leaves the fleet."""
+        """Announce that this host leaves the fleet."""
         self.now_ms = now_ms
         self.members.leave(now_ms)
         return self._flush()
 
-    def floor_known(
+    def send_leader_confirmation(
         self, nonce: int, revision: int, now_ms: int
     ) -> list[typing.Any]:
-        """Pass on the agreement's word for an ``AskFloor``."""
+        """Send the leader's confirmation for an ``AskFloor``."""
         self.now_ms = now_ms
         self._relay_floor(nonce, revision)
         return self._flush()
 
-    def vouch(
+    def send_voter_confirmation(
         self, nonce: int, revision: int, voters: list[str], now_ms: int
     ) -> list[typing.Any]:
-        """Give a voter's own word for an ``AskFloor``."""
+        """Send this voter's own confirmation for an ``AskFloor``."""
         self.now_ms = now_ms
-        asked = self.floor_relays.get(nonce)
-        if asked is not None:
+        query = self.floor_relays.get(nonce)
+        if query is not None:
             self._send(
-                asked.host,
+                query.host,
                 messages.FloorReply(
-                    asked.nonce, revision, False, self.me, voters
+                    query.nonce, revision, False, self.me, voters
                 ),
             )
         return self._flush()
 
     def tick(self, now_ms: int) -> list[typing.Any]:
-        """Let time pass."""
+        """Run the periodic work that is due."""
         self.now_ms = now_ms
         self._dial()
-        self._drop_silent()
-        heard_ms = {link.host: link.heard_ms for link in self.links.values()}
-        self.members.settle_doubts(heard_ms, now_ms)
+        self._disconnect_silent()
+        last_received_ms = {
+            link.host: link.last_received_ms for link in self.links.values()
+        }
+        self.members.suspect_unresponsive(last_received_ms, now_ms)
         self.members.tick(set(self.links), now_ms)
         self.config.tick(list(self.links), now_ms)
-        if self.news and now_ms >= self.news_at_ms:
-            self._pass_news()
-        self._beat()
+        if self.updates and now_ms >= self.updates_due_ms:
+            self._send_updates()
+        self._send_periodic()
         return self._flush()
 
     # Output
@@ -380,17 +396,17 @@
         self.members.out = []
         flood, self.members.flood = self.members.flood, []
         if flood:
-            self._spread_records(flood, "")
-        before = len(self.config.out)
+            self._queue_updates(flood, "")
+        effect_count = len(self.config.out)
         self.out.extend(self.config.out)
         self.config.out = []
-        if before:
-            self._after_config()
+        if effect_count:
+            self._after_config_change()
         out = self.out
         self.out = []
         return out
 
-    def _after_config(self) -> None:
+    def _after_config_change(self) -> None:
         changed = any(
             isinstance(effect, effects.PutInForce) for effect in self.out
         )
@@ -411,23 +427,23 @@
             rejected=self.config.rejected,
             age_ms=0,
         )
-        self.reports.hear(report, self.now_ms)
+        self.reports.add(report, self.now_ms)
 
-    def _spread_records(
+    def _queue_updates(
         self, records: list[messages.HostRecord], source: str
     ) -> None:
         for record in records:
-            self.news[record.host] = News(record, source)
-        if self.now_ms >= self.news_at_ms:
-            self._pass_news()
-
-    def _pass_news(self) -> None:
-        """Send each peer the records that it has not told itself."""
-        news, self.news = self.news, {}
-        self.news_at_ms = self.now_ms + NEWS_PAUSE_MS
+            self.updates[record.host] = RecordUpdate(record, source)
+        if self.now_ms >= self.updates_due_ms:
+            self._send_updates()
+
+    def _send_updates(self) -> None:
+        """Send each peer the queued records that it did not send itself."""
+        updates, self.updates = self.updates, {}
+        self.updates_due_ms = self.now_ms + UPDATE_BATCH_MS
         due: dict[str, list[messages.HostRecord]] = {}
-        for item in news.values():
-            for peer in self._onward(item.source):
+        for item in updates.values():
+            for peer in self._forward_peers(item.source):
                 due.setdefault(peer, []).append(item.record)
         size = memberships.RECORDS_PER_FRAME
         for peer, records in due.items():
@@ -435,37 +451,40 @@
                 delta = messages.RecordsDelta(records[start : start + size])
                 self._send(peer, delta)
 
-    def _onward(self, source: str) -> list[str]:
-        """Return the peers that news from another peer is passed on to.
+    def _forward_peers(self, source: str) -> list[str]:
+        """Return the peers to forward a message from another peer to.
 
-        Control hosts are linked each to each. News that one of them told the
-        others would else come to each of them from all of them. Where a link
-        between two of them is broken, their digests differ and repair it.
+        Every control host is linked to every other. A message from one of
+        them is not forwarded to the others, as each would receive it from
+        all of them. If a link between two of them is broken, their digests
+        differ and a summary repairs the difference.
         """
         others = [link for link in self.links.values() if link.host != source]
-        told = self.links.get(source)
-        if self.control and told is not None and told.control:
+        source_link = self.links.get(source)
+        if self.control and source_link is not None and source_link.control:
             others = [link for link in others if not link.control]
         return [link.host for link in others]
 
     def _is_control(self, host: str) -> bool:
         return host in self.overlay.controls
 
-    # Time
+    # Periodic work
 
     def _dial(self) -> None:
-        spare = (
+        extra = (
             not self.config.floor.proved
-            and self.now_ms >= self.started_ms + overlays.SPARE_LINK_MS
+            and self.now_ms >= self.started_ms + overlays.EXTRA_LINKS_DELAY_MS
+        )
+        self.old_uplink = (
+            self.overlay.return_to_preferred(self.now_ms) or self.old_uplink
         )
-        self.old_uplink = self.overlay.go_home(self.now_ms) or self.old_uplink
         if self.overlay.uplink in self.links:
-            self.uplinked_ms = self.now_ms
-            self._let_go_of_old_uplink()
-        spare = spare or self._uplink_is_doubtful()
-        wanted = self.overlay.wanted(spare=spare, now_ms=self.now_ms)
+            self.uplink_linked_ms = self.now_ms
+            self._disconnect_old_uplink()
+        extra = extra or self._uplink_is_unresponsive()
+        wanted = self.overlay.wanted(extra=extra, now_ms=self.now_ms)
         if self.config.floor.proved:
-            self._drop_spare(wanted)
+            self._disconnect_extra(wanted)
         for host in wanted:
             if host in self.links:
                 continue
@@ -473,70 +492,70 @@
                 address = self.overlay.address(host)
                 self.out.append(effects.Dial(host, address))
 
-    def _let_go_of_old_uplink(self) -> None:
-        """Hang up on the uplink that was given up, now that another serves.
+    def _disconnect_old_uplink(self) -> None:
+        """Disconnect the old uplink, now that the new one is linked.
 
-        The one to move to may be dark, and a dial takes seconds to tell.
-        Hanging up first would leave this proxy without any link, and so
+        The new uplink may not answer, and a dial takes seconds to fail.
+        Disconnecting first would leave this proxy without any link, and so
         without new configurations, for all that time.
         """
         old, self.old_uplink = self.old_uplink, ""
         if old in self.links and old != self.overlay.uplink:
-            self._hang_up(self.links[old])
-
-    def _hang_up(self, link: Link) -> None:
-        """Close a link, once."""
-        if not link.hung_up:
-            link.hung_up = True
-            self.out.append(effects.HangUp(link.host))
-
-    def _uplink_is_doubtful(self) -> bool:
-        """Tell whether newer configurations may pass the uplink by.
-
-        The control host above may be cut off from the other control hosts,
-        or stand still, while this proxy reaches them all. Its link does not
-        break, so the proxy would stay with it and serve an old
-        configuration for as long as the trouble lasts. The link is kept,
-        since in a cut-off failure domain it is the only one; links to the
-        others bring what is agreed there.
+            self._disconnect(self.links[old])
+
+    def _disconnect(self, link: Link) -> None:
+        """Close a link unless that was already requested."""
+        if not link.disconnecting:
+            link.disconnecting = True
+            self.out.append(effects.Disconnect(link.host))
+
+    def _uplink_is_unresponsive(self) -> bool:
+        """Return whether the uplink may be missing newer configurations.
+
+        The control host that serves this proxy may be cut off from the other
+        control hosts, or stalled, while the proxy reaches them all. The link
+        does not break, so the proxy would stay with it and serve an old
+        configuration until the fault ends. The link is kept, since in a
+        cut-off failure domain it is the only one; links to the other control
+        hosts deliver the newer revisions.
         """
         if self.control:
             return False
         link = self.links.get(self.overlay.uplink)
         link = link or self.links.get(self.old_uplink)
         if link is None:
-            return self.now_ms - self.uplinked_ms >= UNLINKED_MS
-        return not self._is_sound(link)
+            return self.now_ms - self.uplink_linked_ms >= UPLINK_WAIT_MS
+        return not self._is_responsive(link)
 
-    def _drop_spare(self, wanted: list[str]) -> None:
-        """Close the links that only the proof of the floor needed."""
+    def _disconnect_extra(self, wanted: list[str]) -> None:
+        """Close the links that served only to prove the floor."""
         if self.control or self.overlay.seeds:
             return
         for link in list(self.links.values()):
             if link.control and link.host not in wanted:
                 if self.overlay.uplink in self.links:
-                    self._hang_up(link)
+                    self._disconnect(link)
 
-    def _drop_silent(self) -> None:
+    def _disconnect_silent(self) -> None:
         for link in list(self.links.values()):
-            silent = self.now_ms - link.heard_ms >= SILENT_MS
-            if silent and not link.hung_up:
-                # A connection can go silent for good while new ones work;
-                # waiting for its error would leave this proxy on an old
+            silent = self.now_ms - link.last_received_ms >= LINK_TIMEOUT_MS
+            if silent and not link.disconnecting:
+                # A connection can stop delivering data while new ones work.
+                # Waiting for its error would leave this proxy on an old
                 # configuration for as long as the kernel retries.
                 self.out.append(
                     common.Note("link.silent", {"peer": link.host})
                 )
-                self._hang_up(link)
+                self._disconnect(link)
 
-    def _beat(self) -> None:
+    def _send_periodic(self) -> None:
         if self.now_ms >= self.refresh_at_ms:
             pause = report_store.REFRESH_MS * self.rng.uniform(0.8, 1.2)
             self.refresh_at_ms = self.now_ms + int(pause)
             self._report_own()
         if self.now_ms >= self.report_at_ms and self.reports.pending:
             self.report_at_ms = self.now_ms + REPORT_FLUSH_MS
-            self._pass_reports()
+            self._forward_reports()
         if self.now_ms >= self.heartbeat_at_ms:
             self.heartbeat_at_ms = self.now_ms + HEARTBEAT_MS
             for peer in self.links:
@@ -550,25 +569,26 @@
             led=self.led,
         )
 
-    def follow(self, leader: str) -> None:
-        """Pass reports to another leader from now on (control processes).
+    def set_leader(self, leader: str) -> None:
+        """Forward reports to a new leader (control processes).
 
-        Only the leader answers for the fleet. Sent to every control host, a
-        change at 860 proxies would cost each of 8 hosts seven times over.
+        Only the leader answers queries about the fleet. If reports went to
+        every control host, each of 8 hosts would send those of a change at
+        860 proxies seven times.
         """
         if leader != self.leader:
             self.leader = leader
-            self.reports.pass_again()
+            self.reports.resend_all()
 
-    def note_led(self, led: bool) -> None:
-        """Tell peers at the next beat whether a leader is heard here."""
+    def set_leader_known(self, led: bool) -> None:
+        """Announce in the next heartbeat whether a leader is known here."""
         if led != self.led:
             self.led = led
             self.heartbeat_at_ms = self.now_ms
 
-    def _pass_reports(self) -> None:
-        """Send new reports to the uplink, or on to the leader."""
-        peer = self.leader if self.control else self.above
+    def _forward_reports(self) -> None:
+        """Send new reports to the uplink, or to the leader (control hosts)."""
+        peer = self.leader if self.control else self.report_peer
         if peer == self.me:
             self.reports.pending = {}
         elif peer in self.links:
@@ -577,39 +597,39 @@
 
     # Messages
 
-    def on_heartbeat(self, peer: str, beat: messages.Heartbeat) -> None:
-        """Compare digests."""
+    def on_heartbeat(self, peer: str, heartbeat: messages.Heartbeat) -> None:
+        """Compare the digests in a heartbeat with those of this process."""
         self.config.on_peer_revision(
-            peer, beat.revision, beat.config_digest, self.now_ms
+            peer, heartbeat.revision, heartbeat.config_digest, self.now_ms
         )
         link = self.links.get(peer)
         if link is not None:
-            if beat.led and not link.led:
-                # What was asked before there was a leader got no answer.
-                self.config.ask_floor_of(peer)
-            link.led = bool(beat.led)
-            self._compare_records(link, beat.records_digest)
+            if heartbeat.led and not link.led:
+                # Queries sent before a leader was known got no reply.
+                self.config.query_floor_if_unproved(peer)
+            link.led = bool(heartbeat.led)
+            self._compare_records(link, heartbeat.records_digest)
 
     def on_reports(self, peer: str, message: messages.Reports) -> None:
-        """Take reports of what is in force."""
+        """Store reports of the revision in force at hosts."""
         link = self.links.get(peer)
         from_control = self.control and link is not None and link.control
         for report in message.reports:
-            news = self.reports.hear(report, self.now_ms)
-            if news and from_control:
-                # Two control hosts that take each other for the leader
-                # would send a report to and fro.
+            is_new = self.reports.add(report, self.now_ms)
+            if is_new and from_control:
+                # Two control hosts that each consider the other the leader
+                # would otherwise send a report back and forth.
                 self.reports.pending.pop(report.host, None)
 
     def _compare_records(self, link: Link, digest: int) -> None:
-        """Repair records that differ though nothing moves."""
+        """Send a summary if records differ and none changed recently."""
         records = self.members.records
-        quiet = self.now_ms - records.last_change_ms >= QUIET_MS
-        if digest == records.digest or not quiet:
+        stable = self.now_ms - records.last_change_ms >= RECORDS_STABLE_MS
+        if digest == records.digest or not stable:
             link.mismatches = 0
             return
         link.mismatches += 1
-        due = self.now_ms >= link.summary_ms + SUMMARY_PAUSE_MS
+        due = self.now_ms >= link.summary_ms + SUMMARY_INTERVAL_MS
         if link.mismatches < 2 or not due:
             return
         link.summary_ms = self.now_ms
@@ -621,7 +641,7 @@
         self._send(link.host, summary)
 
     def on_summary(self, peer: str, summary: messages.RecordsSummary) -> None:
-        """Send what the peer lacks; ask for what is newer there."""
+        """Send the records a peer lacks and request those it has newer."""
         records = self.members.records
         newer = records.newer_than(
             summary.versions,
@@ -632,39 +652,39 @@
         for start in range(0, len(newer), size):
             delta = messages.RecordsDelta(newer[start : start + size])
             self._send(peer, delta)
-        if summary.reply_wanted and self._lacks(summary):
-            back = records.summary(
+        if summary.reply_wanted and self._is_behind(summary):
+            reply = records.summary(
                 self.now_ms, recent_only=False, reply_wanted=False
             )
-            self._send(peer, back)
+            self._send(peer, reply)
 
-    def _lacks(self, summary: messages.RecordsSummary) -> bool:
-        none = (-1, -1, -1)
+    def _is_behind(self, summary: messages.RecordsSummary) -> bool:
+        unknown = (-1, -1, -1)
         for theirs in summary.versions:
             own = self.members.records.get(theirs.host)
-            mine = record_store.version_of(own) if own else none
+            mine = record_store.version_of(own) if own else unknown
             if (theirs.incarnation, theirs.sequence, theirs.state) > mine:
                 return True
         return False
 
     def on_floor_query(self, peer: str, query: messages.FloorQuery) -> None:
-        """Answer with the leader's word, or the own one."""
+        """Reply with a seed's own confirmation and query the leader."""
         if self.control or self._control_link():
             self.floor_nonce += 1
             self.floor_relays[self.floor_nonce] = messages.FloorQuery(
                 nonce=query.nonce, host=peer
             )
-            self.floor_relays.pop(self.floor_nonce - FLOOR_RELAYS, None)
+            self.floor_relays.pop(self.floor_nonce - MAX_FLOOR_RELAYS, None)
             if self.control:
                 self.out.append(effects.AskFloor(self.floor_nonce, self.me))
             else:
-                onward = messages.FloorQuery(self.floor_nonce, self.me)
-                self._send(self._control_link(), onward)
-        word = self.config.own_word()
-        if word >= 0:
+                forwarded = messages.FloorQuery(self.floor_nonce, self.me)
+                self._send(self._control_link(), forwarded)
+        revision = self.config.confirmed_revision()
+        if revision >= 0:
             self._send(
                 peer,
-                messages.FloorReply(query.nonce, word, False, self.me),
+                messages.FloorReply(query.nonce, revision, False, self.me),
             )
 
     def _control_link(self) -> str:
@@ -674,24 +694,24 @@
         return ""
 
     def on_floor_reply(self, reply: messages.FloorReply) -> None:
-        """Take a word for this process, or pass it on."""
+        """Use a floor reply for this process, or relay it."""
         if reply.nonce == 0:
             self.config.on_floor_reply(reply, self.now_ms)
         elif reply.certain:
             self._relay_floor(reply.nonce, reply.revision)
 
     def _relay_floor(self, nonce: int, revision: int) -> None:
-        asked = self.floor_relays.pop(nonce, None)
-        if asked is not None:
+        query = self.floor_relays.pop(nonce, None)
+        if query is not None:
             self._send(
-                asked.host,
-                messages.FloorReply(asked.nonce, revision, True, self.me),
+                query.host,
+                messages.FloorReply(query.nonce, revision, True, self.me),
             )
 
 
 @functools.singledispatch
 def handle(message: typing.Any, node: Node, peer: str) -> None:
-    """Take a message between fleet cores; others are ignored."""
+    """Handle a message between fleet cores; other types are ignored."""
 
 
 @handle.register
@@ -721,9 +741,9 @@
 
 @handle.register
 def _(message: messages.RecordsDelta, node: Node, peer: str) -> None:
-    news = node.members.on_delta(message, node.now_ms)
-    if news:
-        node._spread_records(news, peer)
+    updates = node.members.on_delta(message, node.now_ms)
+    if updates:
+        node._queue_updates(updates, peer)
 
 
 @handle.register
@@ -738,7 +758,7 @@
 
 @handle.register
 def _(message: messages.ControlHosts, node: Node, peer: str) -> None:
-    node._learn_controls(message, peer)
+    node._update_controls(message, peer)
 
 
 @handle.register
--- a/libs/fleet/src/trefoil_fleet/records.py
+++ b/libs/fleet/src/trefoil_fleet/records.py
@@ -1,33 +1,36 @@
-"""Hosts' records: one writer each, ordered by incarnation and sequence."""
+"""Records of hosts, ordered by incarnation and sequence.
+
+Only the host itself writes its record; others may only worsen its state.
+"""
 
 import collections.abc
 
 from trefoil_model import hashing
 from trefoil_wire import messages
 
-SUSPECT_MS = 3000
-FORGET_MS = 60_000
-RECENT_MS = 30_000
+SUSPECT_TIMEOUT_MS = 3000
+ABSENT_RETENTION_MS = 60_000
+RECENT_CHANGE_MS = 30_000
 
 State = messages.HostState
-GONE = (State.LEFT, State.DEAD)
+ABSENT_STATES = (State.LEFT, State.DEAD)
 
 
 def version_of(record: messages.HostRecord) -> tuple[int, int, int]:
-    """Return what orders two records of a host; the greater one wins.
+    """Return the sort key of a host's records; the greatest one wins.
 
     At equal incarnation and sequence the worse state wins, so a suspicion
-    takes hold until the host itself refutes it with a higher sequence.
+    stands until the host itself refutes it with a higher sequence.
     """
     return record.incarnation, record.sequence, record.state
 
 
 def hash_of(record: messages.HostRecord) -> int:
-    """Return a record's part of the digest; hosts that are gone have none.
+    """Return a record's share of the digest, 0 for a host that left or died.
 
-    Suspicion is left out: it lasts seconds and settles by itself.
+    Suspicion is not part of it: it lasts seconds and then ends by itself.
     """
-    if record.state in GONE:
+    if record.state in ABSENT_STATES:
         return 0
     text = f"{record.host}\0{record.incarnation}\0{record.sequence}"
     return hashing.hash64(text.encode())
@@ -48,7 +51,7 @@
 
 
 class Records:
-    """The records of all hosts that this process knows."""
+    """The records of all hosts known to this process."""
 
     __slots__ = ("by_host", "digest", "changed_ms", "last_change_ms")
 
@@ -59,7 +62,7 @@
         self.last_change_ms = 0
 
     def put(self, record: messages.HostRecord, now_ms: int) -> bool:
-        """Take a record if it is newer; return whether it was."""
+        """Store a record if it is newer; return whether it was."""
         old = self.by_host.get(record.host)
         if old is not None:
             if version_of(old) >= version_of(record):
@@ -72,17 +75,23 @@
         return True
 
     def get(self, host: str) -> messages.HostRecord | None:
-        """Return a host's record."""
+        """Return a host's record, None if the host is unknown."""
         return self.by_host.get(host)
 
     def present(self) -> list[messages.HostRecord]:
-        """Return the records of hosts that are not gone."""
-        return [r for r in self.by_host.values() if r.state not in GONE]
+        """Return the records of hosts that neither left nor died."""
+        return [
+            r for r in self.by_host.values() if r.state not in ABSENT_STATES
+        ]
 
     def mark(
         self, host: str, state: int, now_ms: int
     ) -> messages.HostRecord | None:
-        """Return a worse copy of a host's record, None if none is due."""
+        """Store and return a host's record with a worse state.
+
+        Returns:
+            None if the host is unknown or its state is already as bad.
+        """
         old = self.by_host.get(host)
         if old is None or old.state >= state:
             return None
@@ -91,7 +100,10 @@
         return marked
 
     def expire(self, now_ms: int) -> list[str]:
-        """Declare silent suspects dead, forget the long gone.
+        """Declare suspected hosts dead and remove old records.
+
+        A host is dead after ``SUSPECT_TIMEOUT_MS`` of suspicion. The record
+        of one that left or died is removed after ``ABSENT_RETENTION_MS``.
 
         Returns:
             The hosts whose state changed.
@@ -99,10 +111,12 @@
         changed = []
         for host, record in list(self.by_host.items()):
             age_ms = now_ms - self.changed_ms[host]
-            if record.state == State.SUSPECT and age_ms >= SUSPECT_MS:
+            if record.state == State.SUSPECT and age_ms >= SUSPECT_TIMEOUT_MS:
                 self.mark(host, State.DEAD, now_ms)
                 changed.append(host)
-            elif record.state in GONE and age_ms >= FORGET_MS:
+            elif (
+                record.state in ABSENT_STATES and age_ms >= ABSENT_RETENTION_MS
+            ):
                 del self.by_host[host]
                 del self.changed_ms[host]
         return changed
@@ -110,13 +124,13 @@
     def summary(
         self, now_ms: int, *, recent_only: bool, reply_wanted: bool
     ) -> messages.RecordsSummary:
-        """Return the versions held, all of them or the recent ones."""
+        """Return the versions of all records or of recently changed ones."""
         return messages.RecordsSummary(
             versions=[
                 messages.RecordVersion(
                     r.host, r.incarnation, r.sequence, r.state
                 )
-                for r in self._wanted(now_ms, recent_only)
+                for r in self._selected(now_ms, recent_only)
             ],
             reply_wanted=reply_wanted,
             whole=not recent_only,
@@ -129,30 +143,30 @@
         *,
         recent_only: bool,
     ) -> list[messages.HostRecord]:
-        """Return the records that a summary lacks or has older."""
+        """Return the records that a summary lacks or has in older versions."""
         theirs = {
             v.host: (v.incarnation, v.sequence, v.state) for v in versions
         }
-        none = (-1, -1, -1)
-        found = [
+        unknown = (-1, -1, -1)
+        newer = [
             self.by_host[host]
             for host, version in theirs.items()
             if host in self.by_host
             and version_of(self.by_host[host]) > version
         ]
-        found.extend(
+        newer.extend(
             record
-            for record in self._wanted(now_ms, recent_only)
-            if theirs.get(record.host, none) == none
+            for record in self._selected(now_ms, recent_only)
+            if theirs.get(record.host, unknown) == unknown
         )
-        return found
+        return newer
 
-    def _wanted(
+    def _selected(
         self, now_ms: int, recent_only: bool
     ) -> list[messages.HostRecord]:
         if not recent_only:
             return list(self.by_host.values())
-        since = now_ms - RECENT_MS
+        since = now_ms - RECENT_CHANGE_MS
         return [
             record
             for host, record in self.by_host.items()
--- a/libs/fleet/src/trefoil_fleet/reports.py
+++ b/libs/fleet/src/trefoil_fleet/reports.py
@@ -1,4 +1,4 @@
-"""Reports of what is in force where, as they travel to control hosts."""
+"""Reports of the revision in force at each host, for the Raft leader."""
 
 import dataclasses
 
@@ -8,72 +8,73 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Heard:
-    """A report and when it arrived."""
+class ReceivedReport:
+    """A report and the time of its arrival."""
 
     report: messages.Report
-    at_ms: int
+    received_ms: int
 
     def age_ms(self, now_ms: int) -> int:
-        """Return how old the report's fact is."""
-        return self.report.age_ms + now_ms - self.at_ms
+        """Return the age of the reported state in milliseconds."""
+        return self.report.age_ms + now_ms - self.received_ms
 
 
 class Reports:
-    """The newest report of each host, and those still to pass on."""
+    """The newest report of each host, and the reports to be forwarded."""
 
     __slots__ = ("by_host", "pending")
 
     def __init__(self) -> None:
-        self.by_host: dict[str, Heard] = {}
+        self.by_host: dict[str, ReceivedReport] = {}
         self.pending: dict[str, int] = {}
 
-    def hear(self, report: messages.Report, now_ms: int) -> bool:
-        """Take a report unless a newer one is known."""
+    def add(self, report: messages.Report, now_ms: int) -> bool:
+        """Store a report if it is newer; return whether it was stored."""
         known = self.by_host.get(report.host)
         if known is not None:
             old = known.report
-            newer = (report.incarnation, report.revision)
-            if newer < (old.incarnation, old.revision):
+            version = (report.incarnation, report.revision)
+            if version < (old.incarnation, old.revision):
                 return False
-            same = newer == (old.incarnation, old.revision)
+            same = version == (old.incarnation, old.revision)
             if same and report.rejected == old.rejected:
-                fresher = report.age_ms < known.age_ms(now_ms)
-                if not fresher:
+                more_recent = report.age_ms < known.age_ms(now_ms)
+                if not more_recent:
                     return False
-        self.by_host[report.host] = Heard(report, now_ms)
+        self.by_host[report.host] = ReceivedReport(report, now_ms)
         self.pending[report.host] = now_ms
         return True
 
     def take_pending(self, now_ms: int) -> list[messages.Report]:
-        """Return the reports to pass on, aged, and clear them."""
+        """Return and clear the reports to forward, with their current age."""
         due = []
         for host in self.pending:
-            heard = self.by_host.get(host)
-            if heard is not None:
-                due.append(aged(heard, now_ms))
+            received = self.by_host.get(host)
+            if received is not None:
+                due.append(with_current_age(received, now_ms))
         self.pending = {}
         return due
 
-    def pass_again(self) -> None:
-        """Pass every known report on once more."""
+    def resend_all(self) -> None:
+        """Mark every known report to be forwarded again."""
         self.pending = {
-            host: heard.at_ms for host, heard in self.by_host.items()
+            host: received.received_ms
+            for host, received in self.by_host.items()
         }
 
-    def forget(self, host: str) -> None:
-        """Drop a host that is gone."""
+    def remove(self, host: str) -> None:
+        """Remove the report of a host that has left or died."""
         self.by_host.pop(host, None)
         self.pending.pop(host, None)
 
 
-def aged(heard: Heard, now_ms: int) -> messages.Report:
-    """Return a report with the time that it spent here added to its age."""
-    report = heard.report
+def with_current_age(received: ReceivedReport, now_ms: int) -> messages.Report:
+    """Return a report whose age includes the time that it was held here."""
+    report = received.report
     return messages.Report(
         host=report.host,
         incarnation=report.incarnation,
         revision=report.revision,
         rejected=report.rejected,
-        age_ms=heard.age_ms(now_ms),
+        age_ms=received.age_ms(now_ms),
     )
--- a/libs/moves/src/trefoil_moves/command_results.py
+++ b/libs/moves/src/trefoil_moves/command_results.py
@@ -117,7 +117,7 @@
         (
             item.revision
             for item in items.by_key.values()
-            if item.key.startswith(item_store.OF_DOCUMENT)
+            if item.key.startswith(item_store.DOCUMENT_PREFIXES)
         ),
         default=0,
     )
@@ -142,7 +142,7 @@
     names = {service.name for service in body.services}
     for key, item in list(items.by_key.items()):
         kind, _, name = key.partition("/")
-        is_in_document = kind + "/" in item_store.OF_DOCUMENT
+        is_in_document = kind + "/" in item_store.DOCUMENT_PREFIXES
         is_orphaned = kind + "/" == item_store.SHARES and name not in names
         if not item.deleted and (
             is_orphaned or (is_in_document and key not in new_records)
