--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -121,7 +121,7 @@
         self.handed_over = False
         self.busy_origins: dict[str, set[int]] = {}
         self.records_dirty = False
-        self.spending = spendings.Spending()
+        self.spending = spendings.SpendingLog()
         self.relay = relays.Relay(settings.known_controls, carrier.tell)
 
     # Carrying out effects
@@ -154,7 +154,7 @@
             common.Note("config.in_force", {"revision": items.revision})
         )
         self.perform(
-            self.entry.start_early(self.clock.now_ms(), self.now_us())
+            self.entry.start_pending(self.clock.now_ms(), self.now_us())
         )
 
     def _cold_limits(
@@ -215,7 +215,7 @@
             if not shares.move_id:
                 self.collectors.pop(service, None)
                 self.guards.pop(service, None)
-                self.entry.placing.halted.pop(service, None)
+                self.entry.placement.halted.pop(service, None)
             elif collector is None or collector.move_id != shares.move_id:
                 self._begin_collecting(service, shares)
             else:
@@ -226,7 +226,7 @@
                 )
 
     def _begin_collecting(self, service: str, shares: messages.Shares) -> None:
-        self.entry.placing.halted.pop(service, None)
+        self.entry.placement.halted.pop(service, None)
         ordered = sorted(shares.shares, key=lambda share: -share.permille)
         self.collectors[service] = evidences.Collector(
             shares.move_id,
@@ -276,7 +276,7 @@
                 continue
             collector.halted = True
             collector.changed.update(collector.counts)
-            self.entry.placing.halted[service] = frozenset(
+            self.entry.placement.halted[service] = frozenset(
                 (judge.new_version,)
             )
             self.carrier.note(
@@ -348,7 +348,9 @@
     def peer_doubted(self, host: str, doubted: bool) -> None:
         """Note a peer that does not answer, or answers again."""
         now_ms, now_us = self.clock.now_ms(), self.now_us()
-        self.perform(self.entry.doubt(host, doubted, now_ms, now_us))
+        self.perform(
+            self.entry.set_unresponsive(host, doubted, now_ms, now_us)
+        )
 
     def origin_lost(self, origin: str) -> None:
         """Stop what a lost entry proxy asked for; nobody waits for it."""
@@ -554,7 +556,7 @@
         return {
             "revision": self.node.config.in_force.revision,
             "calls_waiting": len(self.entry.live),
-            "targets_known": len(self.entry.placing.endpoints.by_key),
+            "targets_known": len(self.entry.placement.endpoints.by_key),
             "running_here": len(self.targets.running),
             "bodies_waiting": len(self.targets.arrivals.waiting),
             "body_wait_ms": self.targets.arrivals.expected_ms(
@@ -616,7 +618,7 @@
     @property
     def idle(self) -> bool:
         """Tell whether nothing runs here any more."""
-        waiting = self.entry.live or self.entry.early.by_id
+        waiting = self.entry.live or self.entry.pending.by_id
         return not waiting and not self.targets.running
 
     def may_end(self, sending: bool = False) -> bool:
@@ -670,7 +672,7 @@
 
 
 @carry.register
-def _(effect: request_effects.Tell, process: ProxyProcess) -> None:
+def _(effect: request_effects.Send, process: ProxyProcess) -> None:
     process.tell(effect.host, effect.address, effect.message)
 
 
@@ -686,7 +688,7 @@
 
 @carry.register
 def _(effect: request_effects.CheckWarmup, process: ProxyProcess) -> None:
-    table = process.entry.placing.table
+    table = process.entry.placement.table
     service = table.services.get(effect.service) if table else None
     if service is not None and service.health_path:
         process.carrier.check_warmup(effect, service.health_path)
@@ -703,7 +705,7 @@
 
 
 @carry.register
-def _(effect: request_effects.Arrived, process: ProxyProcess) -> None:
+def _(effect: request_effects.RepeatArrived, process: ProxyProcess) -> None:
     process.reply(effect.origin, messages.RepeatArrived(effect.request_id))
 
 
@@ -713,7 +715,7 @@
 
 
 @carry.register
-def _(effect: request_effects.Flood, process: ProxyProcess) -> None:
+def _(effect: request_effects.BroadcastNotice, process: ProxyProcess) -> None:
     process.quarantine.hear(effect.notice, process.clock.now_ms())
     process._flood(effect.notice, "")
 
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -715,8 +715,8 @@
     net.boot_target("h3")
     net.settle()
     assert [host for host, _ in net.running()] == ["h3"]
-    view = net.processes["h1"].entry.balancer.view("h2/t-h2")
-    assert view.bodies_until_ms > net.clock.now_ms() + 10_000
+    target_stats = net.processes["h1"].entry.balancer.target_stats("h2/t-h2")
+    assert target_stats.bodies_busy_until_ms > net.clock.now_ms() + 10_000
     uploads(net)
     net.settle()
     assert [host for host, _ in net.running()] == ["h3", "h3"]
@@ -763,7 +763,7 @@
 def started_early(net: Net, deadline_ms: int) -> calls.Call:
     """Let a caller come to a proxy that has no configuration yet."""
     process = net.processes["h1"]
-    process.entry.placing.table = None
+    process.entry.placement.table = None
     call = calls.Call(
         1, "GET", "x", "/read", body=b"a", deadline_ms=deadline_ms
     )
@@ -865,8 +865,8 @@
     net.boot_target("h1")
     net.let_repeat("h1")
     # Slower than the doubted one by far, and still the one that answers.
-    process.entry.balancer.view("h1/t-h1").latency_us = 1_500_000
-    process.entry.balancer.view("h2/t-h2").latency_us = 10_000
+    process.entry.balancer.target_stats("h1/t-h1").latency_us = 1_500_000
+    process.entry.balancer.target_stats("h2/t-h2").latency_us = 10_000
     process.peer_doubted("h2", True)
     net.call("h1", "/pay", "c")
     net.settle()
@@ -874,7 +874,7 @@
     assert len(net.processes["h2"].targets.recent) == 2
     assert sorted(host for host, _ in net.running()) == ["h1"] * 2 + ["h2"] * 2
     process.peer_doubted("h2", False)
-    assert process.entry.balancer.doubted == set()
+    assert process.entry.balancer.unresponsive == set()
 
 
 def test_a_lingering_proxy_serves_its_target_to_others() -> None:
@@ -889,7 +889,7 @@
     process.settings.linger_ms = 3000
     process.leave()
     net.share_records()
-    assert "h1/t-h1" in net.processes["h2"].entry.placing.endpoints.by_key
+    assert "h1/t-h1" in net.processes["h2"].entry.placement.endpoints.by_key
     net.processes["h2"].target_leaves("t-h2", "test")
     net.share_records()
     early = net.call("h2", "/pay", "a")
@@ -899,7 +899,7 @@
     net.clock.advance(3000 - proxy_process.HAND_OVER_MS)
     process.tick()
     net.share_records()
-    assert not net.processes["h2"].entry.placing.endpoints.by_key
+    assert not net.processes["h2"].entry.placement.endpoints.by_key
     net.target_answers(host, request_id)
     net.settle()
     assert net.final("h2", early).status == 200
@@ -936,7 +936,7 @@
     assert (final.status, final.ran) == (503, False)
     assert final.retry_after_ms > 0
     evacuate(net, "h2", True)
-    assert not net.processes["h2"].entry.placing.endpoints.by_key
+    assert not net.processes["h2"].entry.placement.endpoints.by_key
     assert net.running() == []
     for host in net.hosts:
         evacuate(net, host, False)
@@ -977,7 +977,12 @@
     net.processes["h1"].call(call)
     net.settle()
     assert net.final("h1", 1).status == 503
-    assert net.processes["h1"].entry.balancer.view("h1/t-h1").losses == 0
+    assert (
+        net.processes["h1"]
+        .entry.balancer.target_stats("h1/t-h1")
+        .consecutive_losses
+        == 0
+    )
     made = net.processes["h1"].entry.accounts.budgets["tables"]
     assert made.tokens == -budget.CALL_PRICE
     assert made.spent[budget.Cause.CALLED] == 1
--- a/libs/emulator/src/trefoil_emulator/core_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/core_fleet.py
@@ -311,9 +311,9 @@
                     self._reply(host, effect)
                 case bodies.Ask():
                     self._pull(host, effect)
-                case effects.Tell(message=messages.BodyPiece() as piece):
+                case effects.Send(message=messages.BodyPiece() as piece):
                     self._give_piece(host, effect.host, piece)
-                case effects.Tell(message=messages.Cancel() as cancel):
+                case effects.Send(message=messages.Cancel() as cancel):
                     self._cancel(host, effect.host, cancel)
                 case effects.Abort():
                     host.runs.pop(effect.dispatch_id, None)
--- a/libs/emulator/src/trefoil_emulator/troubled_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/troubled_fleet.py
@@ -244,7 +244,9 @@
     def _doubt(self, name: str, peer: str) -> None:
         if peer in self.frozen:
             host = self.hosts[name]
-            found = host.entry.doubt(peer, True, int(self.now_ms), self._us())
+            found = host.entry.set_unresponsive(
+                peer, True, int(self.now_ms), self._us()
+            )
             self._carry(host, found)
 
     def _close(self, name: str, peer: str) -> None:
@@ -258,7 +260,9 @@
         for what in self.frozen.pop(name, []):
             what()
         for host in list(self.hosts.values()):
-            found = host.entry.doubt(name, False, now_ms, self._us())
+            found = host.entry.set_unresponsive(
+                name, False, now_ms, self._us()
+            )
             self._carry(host, found)
 
     def _send(self, name: str, what: typing.Callable[[], None]) -> None:
@@ -355,10 +359,10 @@
             match effect:
                 case effects.CheckTarget():
                     self._accepts(host.name, effect.target)
-                case effects.Arrived():
+                case effects.RepeatArrived():
                     self._tell_arrived(host.name, effect)
 
-    def _tell_arrived(self, there: str, effect: effects.Arrived) -> None:
+    def _tell_arrived(self, there: str, effect: effects.RepeatArrived) -> None:
         name = there if effect.origin == LOCAL else effect.origin
 
         def come() -> None:
--- a/libs/requests/src/trefoil_requests/accounts.py
+++ b/libs/requests/src/trefoil_requests/accounts.py
@@ -5,7 +5,7 @@
 from trefoil_wire import messages
 
 from . import budget
-from . import live as lives
+from . import live as live_calls
 
 
 class Accounts:
@@ -20,7 +20,7 @@
     __slots__ = ("budgets", "most_ratio", "reserve")
 
     def __init__(
-        self, most_ratio: float = 1.0, reserve: float = budget.RESERVE
+        self, most_ratio: float = 1.0, reserve: float = budget.DEFAULT_RESERVE
     ) -> None:
         self.budgets: dict[str, budget.RetryBudget] = {}
         self.most_ratio = most_ratio
@@ -47,7 +47,7 @@
         """
         self.reserve = reserve
         for found in self.budgets.values():
-            found.limit(reserve)
+            found.set_reserve(reserve)
 
     def keeps(self, service: str) -> bool:
         """Tell whether a service has a budget.
@@ -60,7 +60,7 @@
         """Return how many repeats a service has left."""
         return self.budgets[service].tokens
 
-    def deposit(self, live: lives.Live) -> None:
+    def deposit(self, live: live_calls.LiveCall) -> None:
         """Earn a request's part of a repeat, and pay if it is one itself."""
         self.budgets[live.service].deposit(live.repeat)
 
@@ -69,12 +69,12 @@
         found = self.budgets.get(service)
         return found is not None and found.withdraw(cause)
 
-    def give_back(self, live: lives.Live) -> None:
+    def refund(self, live: live_calls.LiveCall) -> None:
         """Take back what was paid for a repeat that found no target."""
         found = self.budgets.get(live.service)
         if live.paid and found is not None:
             live.paid = False
-            found.give_back()
+            found.refund()
 
     def arrived(self, service: str) -> None:
         """Note that a repeat has reached its target, or never will."""
@@ -82,7 +82,7 @@
         if found is not None:
             found.arrived()
 
-    def end(self, live: lives.Live) -> None:
+    def end(self, live: live_calls.LiveCall) -> None:
         """Note that an attempt has ended, if it was a repeat.
 
         Of two attempts the one that arrives last is the repeat, whichever
--- a/libs/requests/src/trefoil_requests/attribution.py
+++ b/libs/requests/src/trefoil_requests/attribution.py
@@ -14,15 +14,15 @@
 import typing
 
 # Below, chance alone makes a route look like one that targets call.
-LEAST_CALLED = 0.25
+MIN_CALL_SHARE = 0.25
 # Counts are halved here: some ten seconds at a busy target.
-REMEMBERED = 512
+MAX_COUNTED = 512
 # A route's calls are known within some fifty of its runs.
 CALLS_WEIGHT = 0.02
-FIRST_CALLS = 1.0
+DEFAULT_CALLS = 1.0
 # Some ten targets' answers.
-TOLD_WEIGHT = 0.1
-LEAST_PERMILLE = -1000
+REPORT_WEIGHT = 0.1
+MIN_PERMILLE = -1000
 
 
 class Origins:
@@ -48,7 +48,7 @@
         """
         counts = self.counts.setdefault(route, {})
         counts[services] = counts.get(services, 0.0) + 1
-        if sum(counts.values()) > REMEMBERED:
+        if sum(counts.values()) > MAX_COUNTED:
             for name in counts:
                 counts[name] /= 2
 
@@ -56,7 +56,7 @@
         """Forget the routes that are gone."""
         _keep_only(self.counts, routes)
 
-    def called_share(self, route: str, services: str) -> float:
+    def call_share(self, route: str, services: str) -> float:
         """Return which part of such requests the targets beside send.
 
         Before any came, all of them: a call that is taken for a caller's
@@ -103,7 +103,7 @@
     calls_of: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def repeat_share(
-        self, runs: collections.abc.Collection[Run], part: float
+        self, runs: collections.abc.Collection[Run], share: float
     ) -> float:
         """Return how likely a request that comes now is a repeat's call.
 
@@ -111,19 +111,19 @@
             runs: What runs now.
             part: How likely it is a call at all.
         """
-        weights = [self.calls_of.get(r.route, FIRST_CALLS) for r in runs]
+        weights = [self.calls_of.get(r.route, DEFAULT_CALLS) for r in runs]
         total = sum(weights)
         if not total:
             return 0.0
         repeats = 0.0
         for run, weight in zip(runs, weights):
-            run.calls += part * weight / total
+            run.calls += share * weight / total
             repeats += run.repeat * weight
-        return part * repeats / total
+        return share * repeats / total
 
     def ended(self, run: Run) -> None:
         """Learn from a run that ended how many calls its route makes."""
-        known = self.calls_of.get(run.route, FIRST_CALLS)
+        known = self.calls_of.get(run.route, DEFAULT_CALLS)
         known += CALLS_WEIGHT * (run.calls - known)
         self.calls_of[run.route] = known
 
@@ -133,31 +133,31 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Called:
+class CallShares:
     """What the called targets' proxies tell: the part of calls, by route."""
 
-    parts: dict[str, float] = dataclasses.field(default_factory=dict)
+    shares: dict[str, float] = dataclasses.field(default_factory=dict)
 
-    def part(self, route: str) -> float:
+    def share(self, route: str) -> float:
         """Return which part of a route's requests here are calls."""
-        part = self.parts.get(route, 1.0)
-        return part if part >= LEAST_CALLED else 0.0
+        share = self.shares.get(route, 1.0)
+        return share if share >= MIN_CALL_SHARE else 0.0
 
-    def told(self, route: str, permille: int | None) -> None:
+    def add_report(self, route: str, permille: int | None) -> None:
         """Take what an answer tells.
 
         A proxy prefers some targets, its own host's among them, so that each
         target sees the hosts in other parts; on the mean these even out.
         """
-        if permille is None or permille < LEAST_PERMILLE:
+        if permille is None or permille < MIN_PERMILLE:
             return
-        part = permille / 1000
-        known = self.parts.get(route, part)
-        self.parts[route] = known + TOLD_WEIGHT * (part - known)
+        share = permille / 1000
+        known = self.shares.get(route, share)
+        self.shares[route] = known + REPORT_WEIGHT * (share - known)
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
         """Forget the routes that are gone."""
-        _keep_only(self.parts, routes)
+        _keep_only(self.shares, routes)
 
 
 def services_key(services: collections.abc.Iterable[str]) -> str:
@@ -170,7 +170,7 @@
 ) -> dict[str, int]:
     """Return how many hosts have the same services, by their key."""
     return dict(
-        collections.Counter(services_key(found) for found in services_of)
+        collections.Counter(services_key(services) for services in services_of)
     )
 
 
--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -16,50 +16,50 @@
 
 LATENCY_WEIGHT = 0.12
 # Before anything was seen; only its relation to the far penalty counts.
-FIRST_LATENCY_US = 20_000.0
+DEFAULT_LATENCY_US = 20_000.0
 # A target not seen yet is thought a little better than the best, so that it
 # is tried; what runs there already holds the others back.
-NEWCOMER_FACTOR = 0.8
+UNSEEN_FACTOR = 0.8
 # A hop to another failure domain and back.
-FAR_US = 3000.0
+CROSS_DOMAIN_US = 3000.0
 # A way there and back on idle links, and what milliseconds round off.
-IDLE_WAY_US = 4000
-FAR_SHARE = 0.1
+IDLE_TRANSIT_US = 4000
+CROSS_DOMAIN_SHARE = 0.1
 # Targets slow down as they fill.
-CROWDED_SHARE = 0.3
+FULL_LOAD_SLOWDOWN = 0.3
 # What a target told of its load says little after this.
-LOAD_FADES_MS = 2000
+LOAD_REPORT_TTL_MS = 2000
 # Ten answers decide: what fails half of its answers is avoided within a
 # second at ten requests a second, and found again as it recovers.
-FAILING_WEIGHT = 0.15
-LEAST_WORKING = 0.1
+FAILURE_WEIGHT = 0.15
+MIN_SUCCESS_RATE = 0.1
 # A failing target gets too few requests to show that it works again; what
 # was seen of it fades within seconds.
-FAILING_FADES_MS = 3000
+FAILURE_DECAY_MS = 3000
 # An answer's word on its target's usual time is newer than the record's for
 # about as long as the record's takes to be told anew.
-PACE_FADES_MS = 2000
-MOST_COMPARED = 12
+PACE_REPORT_TTL_MS = 2000
+MAX_COMPARED = 12
 # Far targets are compared for the case that the near ones are full or slow;
 # the more near ones are looked at, the less goes between failure domains.
-MOST_NEAR = 9
+MAX_LOCAL_COMPARED = 9
 # A quarter of the slots is left for requests that were not sent before.
-ROOM = 0.75
+FREE_SLOTS_LOAD = 0.75
 JITTER = 0.05
 REFUSED_PAUSE_MS = 50
 LOST_PAUSE_MS = 1000
-LOST_PAUSE_MAX_MS = 10_000
-SILENT_LOSSES = 3
+MAX_LOST_PAUSE_MS = 10_000
+LOSSES_BEFORE_PAUSE = 3
 # Where the caller's aim is not told, the soonest answer is the best.
-NO_HURRY = crossing.Hurry(1_000_000, 1_000_000)
+NO_URGENCY = crossing.Hurry(1_000_000, 1_000_000)
 SLOW_START_MS = 5000
-MIN_START_WEIGHT = 0.1
+MIN_START_SPEED = 0.1
 # Targets that tell of their warm-up take about twice as long in it.
-COLD_WEIGHT = 0.5
+COLD_SPEED = 0.5
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
+class TargetStats:
     """What this proxy has seen of a target.
 
     Args:
@@ -81,15 +81,15 @@
     running: int = 0
     latency_us: float = 0.0
     avoid_until_ms: int = 0
-    losses: int = 0
-    others: int = 0
-    told_ms: int = 0
-    failing: float = 0.0
-    failed_ms: int = 0
-    paced_ms: int = 0
-    bodies_until_ms: int = 0
+    consecutive_losses: int = 0
+    other_load: int = 0
+    load_reported_ms: int = 0
+    failure_rate: float = 0.0
+    last_failure_ms: int = 0
+    pace_reported_ms: int = 0
+    bodies_busy_until_ms: int = 0
     link_wait_us: int = 0
-    link_told_ms: int = 0
+    link_reported_ms: int = 0
 
 
 class Balancer:
@@ -101,7 +101,7 @@
         host: This proxy's host.
     """
 
-    __slots__ = ("host", "domain", "rng", "seen", "doubted")
+    __slots__ = ("host", "domain", "rng", "stats", "unresponsive")
 
     def __init__(
         self, domain: str, rng: random.Random, host: str = ""
@@ -109,8 +109,8 @@
         self.host = host
         self.domain = domain
         self.rng = rng
-        self.seen: dict[str, Seen] = {}
-        self.doubted: set[str] = set()
+        self.stats: dict[str, TargetStats] = {}
+        self.unresponsive: set[str] = set()
 
     def pick(
         self,
@@ -119,8 +119,8 @@
         *,
         tried: collections.abc.Collection[str] = (),
         now_ms: int,
-        hurry: crossing.Hurry = NO_HURRY,
-        away_us: float = 0.0,
+        urgency: crossing.Hurry = NO_URGENCY,
+        remote_penalty_us: float = 0.0,
         large: bool = False,
     ) -> routing.Endpoint | None:
         """Return the target for a request, None if none can take it.
@@ -142,37 +142,41 @@
             large: Whether the call's body waits for its turn on the link of
                 another host.
         """
-        fit = [
+        candidates = [
             endpoint
             for endpoint in endpoints
             if endpoint.key not in tried
-            and endpoint.host not in self.doubted
-            and self.view(endpoint.key).avoid_until_ms <= now_ms
+            and endpoint.host not in self.unresponsive
+            and self.target_stats(endpoint.key).avoid_until_ms <= now_ms
         ]
-        if len(fit) > MOST_COMPARED:
-            fit = self._some(fit)
-        if not fit:
+        if len(candidates) > MAX_COMPARED:
+            candidates = self._sample(candidates)
+        if not candidates:
             return None
-        usual_us = self._usual_us(fit, now_ms)
+        unseen_us = self._unseen_latency_us(candidates, now_ms)
 
         def loss(endpoint: routing.Endpoint) -> float:
-            expected_us = self._cost(endpoint, usual_us, first_seen_ms, now_ms)
+            expected_us = self._expected_us(
+                endpoint, unseen_us, first_seen_ms, now_ms
+            )
             if endpoint.host != self.host:
-                expected_us += away_us
+                expected_us += remote_penalty_us
                 expected_us += self.link_wait_us(endpoint.key, now_ms)
                 if large:
                     expected_us += self._body_wait_us(endpoint, now_ms)
             expected_us *= self.rng.uniform(1 - JITTER, 1 + JITTER)
-            return hurry.loss(expected_us, far=endpoint.domain != self.domain)
+            return urgency.loss(
+                expected_us, far=endpoint.domain != self.domain
+            )
 
-        return min(fit, key=loss)
+        return min(candidates, key=loss)
 
     def _body_wait_us(self, endpoint: routing.Endpoint, now_ms: int) -> float:
-        until_ms = self.view(endpoint.key).bodies_until_ms
+        until_ms = self.target_stats(endpoint.key).bodies_busy_until_ms
         return max(until_ms - now_ms, 0) * 1000.0
 
     def note_links(
-        self, key: str, *, body_wait_ms: int, way_us: int, now_ms: int
+        self, key: str, *, body_wait_ms: int, transit_us: int, now_ms: int
     ) -> None:
         """Note what an answer tells of the links to a target.
 
@@ -182,10 +186,10 @@
             way_us: How long the answer and its request were on the way.
             now_ms: The time on the runtime's clock.
         """
-        seen = self.view(key)
-        seen.bodies_until_ms = now_ms + body_wait_ms
-        seen.link_wait_us = max(way_us - IDLE_WAY_US, 0)
-        seen.link_told_ms = now_ms
+        stats = self.target_stats(key)
+        stats.bodies_busy_until_ms = now_ms + body_wait_ms
+        stats.link_wait_us = max(transit_us - IDLE_TRANSIT_US, 0)
+        stats.link_reported_ms = now_ms
 
     def link_wait_us(self, key: str, now_ms: int) -> float:
         """Return how long a call to a target waits for links on its way.
@@ -194,34 +198,41 @@
         works fast. By these alone it would get more and more calls, and its
         answers would wait for each other.
         """
-        seen = self.view(key)
-        age_ms = min(now_ms - seen.link_told_ms, LOAD_FADES_MS)
-        return seen.link_wait_us * (1 - age_ms / LOAD_FADES_MS)
+        stats = self.target_stats(key)
+        age_ms = min(now_ms - stats.link_reported_ms, LOAD_REPORT_TTL_MS)
+        return stats.link_wait_us * (1 - age_ms / LOAD_REPORT_TTL_MS)
 
-    def doubt(self, host: str, doubted: bool) -> None:
+    def set_unresponsive(self, host: str, unresponsive: bool) -> None:
         """Leave the targets of a host out, or take them in again."""
-        if doubted:
-            self.doubted.add(host)
+        if unresponsive:
+            self.unresponsive.add(host)
         else:
-            self.doubted.discard(host)
+            self.unresponsive.discard(host)
 
-    def _some(self, fit: list[routing.Endpoint]) -> list[routing.Endpoint]:
+    def _sample(
+        self, candidates: list[routing.Endpoint]
+    ) -> list[routing.Endpoint]:
         """Return the near targets and a few others, to bound the work."""
-        near = [e for e in fit if e.domain == self.domain]
-        near = self.rng.sample(near, min(len(near), MOST_NEAR))
-        far = [e for e in fit if e.domain != self.domain]
-        room = min(len(far), MOST_COMPARED - len(near))
-        return near + self.rng.sample(far, room)
-
-    def _usual_us(self, fit: list[routing.Endpoint], now_ms: int) -> float:
+        local = [e for e in candidates if e.domain == self.domain]
+        local = self.rng.sample(local, min(len(local), MAX_LOCAL_COMPARED))
+        remote = [e for e in candidates if e.domain != self.domain]
+        remote_count = min(len(remote), MAX_COMPARED - len(local))
+        return local + self.rng.sample(remote, remote_count)
+
+    def _unseen_latency_us(
+        self, candidates: list[routing.Endpoint], now_ms: int
+    ) -> float:
         """Return the latency to expect of a target not seen yet."""
-        known = [self._known_us(e, self.view(e.key), now_ms) for e in fit]
+        known = [
+            self._latency_us(e, self.target_stats(e.key), now_ms)
+            for e in candidates
+        ]
         known = [latency_us for latency_us in known if latency_us]
-        return min(known) * NEWCOMER_FACTOR if known else FIRST_LATENCY_US
+        return min(known) * UNSEEN_FACTOR if known else DEFAULT_LATENCY_US
 
-    def has_room(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
+    def has_free_slots(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
         """Tell whether a target is thought to have slots to spare."""
-        return self._load(endpoint, now_ms) < ROOM
+        return self._load(endpoint, now_ms) < FREE_SLOTS_LOAD
 
     def is_full(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
         """Tell whether all slots of a target are thought to be taken."""
@@ -229,22 +240,22 @@
 
     def _load(self, endpoint: routing.Endpoint, now_ms: int) -> float:
         """Return the part of a target's slots that is in use or wanted."""
-        seen = self.view(endpoint.key)
+        stats = self.target_stats(endpoint.key)
         slots = max(endpoint.target.slots, 1)
-        age_ms = min(now_ms - seen.told_ms, LOAD_FADES_MS)
-        others = seen.others * (1 - age_ms / LOAD_FADES_MS)
-        return (seen.running + others) / slots
+        age_ms = min(now_ms - stats.load_reported_ms, LOAD_REPORT_TTL_MS)
+        other_load = stats.other_load * (1 - age_ms / LOAD_REPORT_TTL_MS)
+        return (stats.running + other_load) / slots
 
-    def view(self, key: str) -> Seen:
+    def target_stats(self, key: str) -> TargetStats:
         """Return what was seen of a target."""
-        seen = self.seen.get(key)
-        if seen is None:
-            seen = self.seen[key] = Seen()
-        return seen
+        stats = self.stats.get(key)
+        if stats is None:
+            stats = self.stats[key] = TargetStats()
+        return stats
 
     def started(self, key: str) -> None:
         """Note a request on its way to a target."""
-        self.view(key).running += 1
+        self.target_stats(key).running += 1
 
     def answered(
         self,
@@ -264,52 +275,54 @@
             usual_us: Its usual time as its own proxy measured it, which saw
                 the requests of all proxies; 0 if not told.
         """
-        seen = self.view(key)
-        seen.running = max(seen.running - 1, 0)
-        seen.losses = 0
+        stats = self.target_stats(key)
+        stats.running = max(stats.running - 1, 0)
+        stats.consecutive_losses = 0
         if usual_us:
-            seen.latency_us = usual_us
-            seen.paced_ms = now_ms
-        elif not seen.latency_us:
-            seen.latency_us = latency_us
+            stats.latency_us = usual_us
+            stats.pace_reported_ms = now_ms
+        elif not stats.latency_us:
+            stats.latency_us = latency_us
         else:
-            seen.latency_us += LATENCY_WEIGHT * (latency_us - seen.latency_us)
-        self._note_load(seen, load, now_ms)
+            stats.latency_us += LATENCY_WEIGHT * (
+                latency_us - stats.latency_us
+            )
+        self._note_load(stats, load, now_ms)
 
     def refused(
         self, key: str, now_ms: int, retry_after_ms: int, load: int = -1
     ) -> None:
         """Note a refusal: the target's proxy did not run the request."""
-        seen = self.view(key)
-        seen.running = max(seen.running - 1, 0)
+        stats = self.target_stats(key)
+        stats.running = max(stats.running - 1, 0)
         if retry_after_ms:
             pause = min(retry_after_ms, REFUSED_PAUSE_MS)
-            seen.avoid_until_ms = now_ms + pause
-        self._note_load(seen, load, now_ms)
+            stats.avoid_until_ms = now_ms + pause
+        self._note_load(stats, load, now_ms)
 
-    def judged(self, key: str, failed: bool, now_ms: int) -> None:
+    def note_outcome(self, key: str, failed: bool, now_ms: int) -> None:
         """Note whether a target did what it was asked.
 
         Targets may fail part of their requests while they say that they
         are well; only their answers show it.
         """
-        seen = self.view(key)
+        stats = self.target_stats(key)
         if failed:
-            seen.failed_ms = now_ms
-        seen.failing += FAILING_WEIGHT * (failed - seen.failing)
+            stats.last_failure_ms = now_ms
+        stats.failure_rate += FAILURE_WEIGHT * (failed - stats.failure_rate)
 
-    def _note_load(self, seen: Seen, load: int, now_ms: int) -> None:
+    def _note_load(self, stats: TargetStats, load: int, now_ms: int) -> None:
         if load >= 0:
-            seen.others = max(load - seen.running, 0)
-            seen.told_ms = now_ms
+            stats.other_load = max(load - stats.running, 0)
+            stats.load_reported_ms = now_ms
 
     def lost(self, key: str, now_ms: int) -> None:
         """Note a request whose answer never came."""
-        seen = self.view(key)
-        seen.running = max(seen.running - 1, 0)
-        seen.losses += 1
-        pause = LOST_PAUSE_MS << min(seen.losses - 1, 4)
-        seen.avoid_until_ms = now_ms + min(pause, LOST_PAUSE_MAX_MS)
+        stats = self.target_stats(key)
+        stats.running = max(stats.running - 1, 0)
+        stats.consecutive_losses += 1
+        pause = LOST_PAUSE_MS << min(stats.consecutive_losses - 1, 4)
+        stats.avoid_until_ms = now_ms + min(pause, MAX_LOST_PAUSE_MS)
 
     def timed_out(self, key: str, now_ms: int) -> None:
         """Note a request that was given up at its deadline.
@@ -318,25 +331,25 @@
         leave them alone would take the rest of the capacity away. Some in a
         row without an answer in between are a target that went silent.
         """
-        seen = self.view(key)
-        seen.running = max(seen.running - 1, 0)
-        self.judged(key, True, now_ms)
-        seen.losses += 1
-        if seen.losses >= SILENT_LOSSES:
-            seen.avoid_until_ms = now_ms + LOST_PAUSE_MS
-
-    def given_up(self, key: str) -> None:
+        stats = self.target_stats(key)
+        stats.running = max(stats.running - 1, 0)
+        self.note_outcome(key, True, now_ms)
+        stats.consecutive_losses += 1
+        if stats.consecutive_losses >= LOSSES_BEFORE_PAUSE:
+            stats.avoid_until_ms = now_ms + LOST_PAUSE_MS
+
+    def note_cancelled(self, key: str) -> None:
         """Note a request whose answer nobody needs any more."""
-        seen = self.view(key)
-        seen.running = max(seen.running - 1, 0)
+        stats = self.target_stats(key)
+        stats.running = max(stats.running - 1, 0)
 
     def keep_only(self, keys: collections.abc.Container[str]) -> None:
         """Forget the targets that are gone and have nothing running."""
-        for key, seen in list(self.seen.items()):
-            if key not in keys and not seen.running:
-                del self.seen[key]
+        for key, stats in list(self.stats.items()):
+            if key not in keys and not stats.running:
+                del self.stats[key]
 
-    def _warmth(
+    def _speed(
         self,
         endpoint: routing.Endpoint,
         first_seen_ms: collections.abc.Mapping[str, int],
@@ -345,24 +358,27 @@
         """Return the part of its speed that a target is thought to have."""
         if endpoint.target.tells_warmup:
             cold = endpoint.target.state == messages.TargetState.COLD
-            return COLD_WEIGHT if cold else 1.0
+            return COLD_SPEED if cold else 1.0
         age_ms = now_ms - first_seen_ms.get(endpoint.key, 0)
-        return max(min(age_ms / SLOW_START_MS, 1.0), MIN_START_WEIGHT)
+        return max(min(age_ms / SLOW_START_MS, 1.0), MIN_START_SPEED)
 
-    def _known_us(
-        self, endpoint: routing.Endpoint, seen: Seen, now_ms: int
+    def _latency_us(
+        self, endpoint: routing.Endpoint, stats: TargetStats, now_ms: int
     ) -> float:
         """Return a target's usual time, 0 if nothing is known of it.
 
         What its record tells is good to a third and travels within a
         second; a recent answer knows better.
         """
-        told_us = endpoint.target.usual_us or 0
-        if told_us and now_ms - seen.paced_ms > PACE_FADES_MS:
-            return told_us
-        return seen.latency_us or told_us
-
-    def _paced_us(self, endpoint: routing.Endpoint, ahead: float) -> float:
+        reported_us = endpoint.target.usual_us or 0
+        if (
+            reported_us
+            and now_ms - stats.pace_reported_ms > PACE_REPORT_TTL_MS
+        ):
+            return reported_us
+        return stats.latency_us or reported_us
+
+    def _cold_wait_us(self, endpoint: routing.Endpoint, ahead: float) -> float:
         """Return how long a call waits for a cold target's next turn.
 
         A cold target gets some requests a second, however many slots it has.
@@ -373,28 +389,28 @@
             return 0.0
         return ahead * 1_000_000 / per_s
 
-    def _cost(
+    def _expected_us(
         self,
         endpoint: routing.Endpoint,
-        usual_us: float,
+        unseen_us: float,
         first_seen_ms: collections.abc.Mapping[str, int],
         now_ms: int,
     ) -> float:
         """Return when a target is expected to answer, in microseconds."""
-        seen = self.view(endpoint.key)
+        stats = self.target_stats(endpoint.key)
         slots = max(endpoint.target.slots, 1)
         load = self._load(endpoint, now_ms)
-        wait = max(load + 1 / slots - 1, 0.0)
-        service_us = self._known_us(endpoint, seen, now_ms) or usual_us
-        service_us /= self._warmth(endpoint, first_seen_ms, now_ms)
-        crowded = 1 + CROWDED_SHARE * min(load, 1.0) ** 2
+        queue_length = max(load + 1 / slots - 1, 0.0)
+        service_us = self._latency_us(endpoint, stats, now_ms) or unseen_us
+        service_us /= self._speed(endpoint, first_seen_ms, now_ms)
+        slowdown = 1 + FULL_LOAD_SLOWDOWN * min(load, 1.0) ** 2
         # A request that fails has to be asked again, if it may: twice the
         # time at one failure in three, nine times at two in three.
-        faded = (now_ms - seen.failed_ms) / FAILING_FADES_MS
-        failing = seen.failing * max(1 - faded, 0.0)
-        again = 1 / max(1 - failing, LEAST_WORKING) ** 2
-        cost_us = service_us * (crowded + wait) * again
-        cost_us += self._paced_us(endpoint, load * slots)
+        decay = (now_ms - stats.last_failure_ms) / FAILURE_DECAY_MS
+        failure_rate = stats.failure_rate * max(1 - decay, 0.0)
+        repeat_factor = 1 / max(1 - failure_rate, MIN_SUCCESS_RATE) ** 2
+        total_us = service_us * (slowdown + queue_length) * repeat_factor
+        total_us += self._cold_wait_us(endpoint, load * slots)
         if endpoint.domain != self.domain:
-            cost_us += FAR_US + FAR_SHARE * service_us
-        return cost_us
+            total_us += CROSS_DOMAIN_US + CROSS_DOMAIN_SHARE * service_us
+        return total_us
--- a/libs/requests/src/trefoil_requests/budget.py
+++ b/libs/requests/src/trefoil_requests/budget.py
@@ -2,7 +2,7 @@
 
 import enum
 
-RESERVE = 10.0
+DEFAULT_RESERVE = 10.0
 # Whose run a call belongs to is known by its odds only. A tenth more than
 # the odds covers the luck of a few hundred calls.
 CALL_PRICE = 1.1
@@ -40,23 +40,23 @@
         "ratio",
         "reserve",
         "tokens",
-        "under_way",
+        "in_flight",
         "requests",
         "spent",
     )
 
-    def __init__(self, ratio: float, reserve: float = RESERVE) -> None:
+    def __init__(self, ratio: float, reserve: float = DEFAULT_RESERVE) -> None:
         self.ratio = ratio
         self.reserve = reserve
         self.tokens = 0.0
-        self.under_way = 0
+        self.in_flight = 0
         self.requests = 0
         self.spent = dict.fromkeys(Cause, 0.0)
 
-    def limit(self, reserve: float) -> None:
+    def set_reserve(self, reserve: float) -> None:
         """Change how many repeats may be saved up or under way."""
         self.reserve = reserve
-        self.tokens = min(self.tokens, reserve - self.under_way)
+        self.tokens = min(self.tokens, reserve - self.in_flight)
 
     def deposit(self, repeat: float = 0.0) -> None:
         """Note a request that came.
@@ -67,7 +67,7 @@
                 budget: its parent, which was paid for, would fail.
         """
         self.requests += 1
-        room = self.reserve - self.under_way - self.tokens
+        room = self.reserve - self.in_flight - self.tokens
         self.tokens += min(self.ratio * (1 - repeat), max(room, 0.0))
         self.tokens -= repeat * CALL_PRICE
         self.spent[Cause.CALLED] += repeat
@@ -80,16 +80,16 @@
         if self.tokens < 1:
             return False
         self.tokens -= 1
-        self.under_way += 1
+        self.in_flight += 1
         self.spent[cause] += 1
         return True
 
     def arrived(self) -> None:
         """Note that a repeat has reached its target, or never will."""
         # A service that left the configuration and came back has a new one.
-        self.under_way = max(self.under_way - 1, 0)
+        self.in_flight = max(self.in_flight - 1, 0)
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Return a repeat for which there was no target."""
         self.tokens += 1
         self.arrived()
--- a/libs/requests/src/trefoil_requests/effects.py
+++ b/libs/requests/src/trefoil_requests/effects.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tell:
+class Send:
     """Send a message to a peer's request link, best effort."""
 
     host: str
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Arrived:
+class RepeatArrived:
     """Tell the proxy that paid for a repeat that it is at its target."""
 
     origin: str
@@ -83,7 +83,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flood:
+class BroadcastNotice:
     """Spread a crash notice over the fleet's links."""
 
     notice: messages.CrashNotice
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -18,13 +18,13 @@
 from . import bodies
 from . import budget
 from . import call as calls
-from . import early as earlies
 from . import effects
 from . import ledger as ledgers
-from . import live as lives
+from . import live as live_calls
 from . import observing
 from . import patience as patiences
-from . import placing as placings
+from . import pending as pending_calls
+from . import placement as placements
 from . import quarantine as quarantines
 from . import routing
 
@@ -32,14 +32,14 @@
 # asked for once more elsewhere: its answer is probably lost, or its target
 # slow. One in thirty does so on a calm day.
 HEDGE_FACTOR = 3.0
-LEAST_HEDGE_US = 50_000
+MIN_HEDGE_WAIT_US = 50_000
 # Refusals of targets' proxies cost no run and no retry budget, but each
 # costs its caller a round trip.
 MAX_PLACEMENTS = 5
-COME_BACK_MS = 1000
-NO_TARGET_MS = 100
-FIRST_FAILED_STATUS = 400
-RAN_UNKNOWN = "it is not known whether the request ran"
+RETRY_AFTER_MS = 1000
+NO_TARGET_RETRY_AFTER_MS = 100
+MIN_FAILED_STATUS = 400
+OUTCOME_UNKNOWN = "it is not known whether the request ran"
 
 
 class LocalTargets(typing.Protocol):
@@ -49,7 +49,7 @@
     def services_key(self) -> str:
         """Return what names their services."""
 
-    def repeat_share(self, part: float) -> float:
+    def repeat_share(self, share: float) -> float:
         """Return how likely a request that comes now is a repeat's call.
 
         Args:
@@ -71,20 +71,20 @@
     """
 
     __slots__ = (
-        "me",
+        "local_host",
         "domain",
         "targets",
-        "called",
+        "call_shares",
         "ledger",
         "quarantine",
         "rng",
         "patience",
-        "placing",
+        "placement",
         "balancer",
         "accounts",
         "claims",
         "live",
-        "early",
+        "pending",
         "by_request",
         "draining",
         "ids",
@@ -93,7 +93,7 @@
 
     def __init__(
         self,
-        me: str,
+        local_host: str,
         domain: str,
         *,
         ledger: ledgers.Ledger,
@@ -101,20 +101,20 @@
         targets: LocalTargets,
         rng: random.Random,
     ) -> None:
-        self.me = me
+        self.local_host = local_host
         self.domain = domain
         self.targets = targets
-        self.called = attribution.Called()
+        self.call_shares = attribution.CallShares()
         self.ledger = ledger
         self.quarantine = quarantine
         self.rng = rng
         self.patience = patiences.Patience()
-        self.placing = placings.Placing(me, domain, rng)
-        self.balancer = self.placing.balancer
+        self.placement = placements.Placement(local_host, domain, rng)
+        self.balancer = self.placement.balancer
         self.accounts = accounts.Accounts()
         self.claims = ledgers.Claims()
-        self.live: dict[int, lives.Live] = {}
-        self.early = earlies.Early()
+        self.live: dict[int, live_calls.LiveCall] = {}
+        self.pending = pending_calls.PendingCalls()
         self.by_request: dict[int, int] = {}
         self.draining = False
         self.ids = rng.getrandbits(61)
@@ -124,18 +124,18 @@
 
     def put_in_force(self, table: routing.RouteTable) -> None:
         """Route by a new configuration from now on, in one step."""
-        self.placing.put_in_force(table)
+        self.placement.put_in_force(table)
         names = {route.name for route in table.routes}
         self.patience.keep_only(names)
-        self.called.keep_only(names)
+        self.call_shares.keep_only(names)
         self.accounts.put_in_force(table.services)
 
     def records_changed(
         self, records: record_store.Records, now_ms: int
     ) -> None:
         """Take in the hosts' records."""
-        self.placing.records_changed(records, now_ms)
-        self.ledger.sets.update(self.placing.endpoints.hosts_of, now_ms)
+        self.placement.records_changed(records, now_ms)
+        self.ledger.sets.update(self.placement.endpoints.hosts_of, now_ms)
 
     # A call's life
 
@@ -143,8 +143,8 @@
         self, call: calls.Call, now_ms: int, now_us: int
     ) -> list[typing.Any]:
         """Take a caller's request."""
-        if self.placing.table is None and not self.draining:
-            if self.early.hold(call, now_ms):
+        if self.placement.table is None and not self.draining:
+            if self.pending.hold(call, now_ms):
                 return []
         route = self._route_or_refuse(call)
         if route is None:
@@ -154,7 +154,7 @@
             timeout_ms = min(timeout_ms, call.deadline_ms)
         aim_ms = route.latency_aim_ms or timeout_ms
         waited_ms = self.patience.waited_ms(route.name, call.deadline_ms)
-        live = lives.Live(
+        live = live_calls.LiveCall(
             call=call,
             route=route,
             fingerprint=call.fingerprint(),
@@ -167,38 +167,40 @@
         if self.quarantine.refuses(live.fingerprint, now_ms):
             self._finish_quarantined(live)
             return self._flush()
-        self._open_account(live)
+        self._add_to_budget(live)
         if route.repeat == messages.Repeat.ONCE and call.key:
             self._claim(live, now_ms)
         else:
             self._attempt(live, now_ms, now_us)
         return self._flush()
 
-    def _open_account(self, live: lives.Live) -> None:
+    def _add_to_budget(self, live: live_calls.LiveCall) -> None:
         """Settle how likely a request is a repeat's call, and book it."""
         if live.call.retried:
             live.repeat = 1.0
         else:
-            part = self.called.part(live.route.name)
-            live.repeat = self.targets.repeat_share(part) if part else 0.0
+            share = self.call_shares.share(live.route.name)
+            live.repeat = self.targets.repeat_share(share) if share else 0.0
         self.accounts.deposit(live)
 
-    def start_early(self, now_ms: int, now_us: int) -> list[typing.Any]:
+    def start_pending(self, now_ms: int, now_us: int) -> list[typing.Any]:
         """Take the requests that came before there was a configuration."""
-        found = []
-        for call in self.early.release(now_ms):
-            found.extend(self.start(call, now_ms, now_us))
-        return found
+        released = []
+        for call in self.pending.release(now_ms):
+            released.extend(self.start(call, now_ms, now_us))
+        return released
 
     def _route_or_refuse(self, call: calls.Call) -> messages.Route | None:
         if self.draining:
             self._refuse(call, 503, "this proxy is leaving")
             return None
-        if self.placing.table is None:
+        if self.placement.table is None:
             self._refuse(call, 503, "no configuration is in force yet")
             return None
         try:
-            return self.placing.table.match(call.host, call.path, call.method)
+            return self.placement.table.match(
+                call.host, call.path, call.method
+            )
         except errors.ProtocolError as error:
             self._refuse(call, error.status, error.reason)
             return None
@@ -210,12 +212,12 @@
                     call.call_id,
                     status,
                     reason,
-                    retry_after_ms=COME_BACK_MS if status == 503 else 0,
+                    retry_after_ms=RETRY_AFTER_MS if status == 503 else 0,
                 )
             )
         )
 
-    def _claim(self, live: lives.Live, now_ms: int) -> None:
+    def _claim(self, live: live_calls.LiveCall, now_ms: int) -> None:
         service = live.service
         issued_ms = ledgers.issued_ms_of(live.call.key)
         key = ledgers.key_of(service, live.call.key)
@@ -228,7 +230,7 @@
             issued_ms=issued_ms,
         )
         live.claim = claim
-        self._take_claims(
+        self._apply_claim_results(
             self.claims.begin(live.call.call_id, claim, now_ms), now_ms, 0
         )
 
@@ -236,13 +238,13 @@
         self, reply: messages.ClaimReply, now_ms: int, now_us: int
     ) -> list[typing.Any]:
         """Take a keeper's reply."""
-        self._take_claims(self.claims.hear(reply), now_ms, now_us)
+        self._apply_claim_results(self.claims.hear(reply), now_ms, now_us)
         return self._flush()
 
-    def _take_claims(
-        self, found: list[typing.Any], now_ms: int, now_us: int
+    def _apply_claim_results(
+        self, results: list[typing.Any], now_ms: int, now_us: int
     ) -> None:
-        for item in found:
+        for item in results:
             match item:
                 case ledgers.Won():
                     live = self.live.get(item.call_id)
@@ -255,18 +257,20 @@
                 case _:
                     self.out.append(item)
 
-    def _attempt(self, live: lives.Live, now_ms: int, now_us: int) -> None:
+    def _attempt(
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
+    ) -> None:
         """Send a call to a target, or answer that none can take it."""
-        endpoint = self.placing.choose_and_settle(live, now_ms)
+        endpoint = self.placement.place(live, now_ms)
         if endpoint is None:
-            self.accounts.give_back(live)
+            self.accounts.refund(live)
             self._finish_no_target(live)
             return
         self._send_to(live, endpoint, now_ms, now_us)
 
     def _send_to(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         endpoint: routing.Endpoint,
         now_ms: int,
         now_us: int,
@@ -279,12 +283,12 @@
         live.tried.add(endpoint.key)
         live.request_id = self._next_id()
         if live.attempts == 1:
-            live.first_id = live.request_id
+            live.first_request_id = live.request_id
         live.sent_us = now_us
         self.by_request[live.request_id] = live.call.call_id
         self.balancer.started(endpoint.key)
         body = live.call.body
-        waits = endpoint.host != self.me and bodies.is_large(body)
+        waits = endpoint.host != self.local_host and bodies.is_large(body)
         request = messages.Request(
             request_id=live.request_id,
             route=route.name,
@@ -302,7 +306,7 @@
             priority=route.priority or 0,
             caller_id=live.call.caller_id,
             aim_ms=max(live.aim_at_ms - now_ms, 1),
-            settled=live.settled,
+            settled=live.may_queue,
             services_key=self.targets.services_key,
             repeat_permille=_repeat_permille(live),
         )
@@ -322,7 +326,7 @@
             pull.request_id, pull.offset, live.call.body[pull.offset : end]
         )
         endpoint = attempt.endpoint
-        return [effects.Tell(endpoint.host, endpoint.address, piece)]
+        return [effects.Send(endpoint.host, endpoint.address, piece)]
 
     # Answers
 
@@ -338,9 +342,9 @@
         if live is None:
             return self._flush()
         self._note_links(live, answer, now_ms, now_us)
-        self.called.told(live.route.name, answer.called_permille)
+        self.call_shares.add_report(live.route.name, answer.called_permille)
         unserved = not answer.ran or answer.crashed or answer.unusable
-        if unserved and self._fall_back(live, answer, now_ms):
+        if unserved and self._await_other_attempt(live, answer, now_ms):
             return self._flush()
         if not answer.ran:
             self._on_refused(live, answer, now_ms, now_us)
@@ -354,7 +358,7 @@
 
     def _note_links(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
@@ -363,31 +367,31 @@
         self.balancer.note_links(
             live.endpoint.key,
             body_wait_ms=answer.body_wait_ms or 0,
-            way_us=max(now_us - live.sent_us - held_us, 0),
+            transit_us=max(now_us - live.sent_us - held_us, 0),
             now_ms=now_ms,
         )
 
     def _on_served(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
     ) -> None:
         latency_us = now_us - live.sent_us
-        self.placing.note_answered(live, answer, latency_us, now_ms)
-        failed = answer.status >= FIRST_FAILED_STATUS
+        self.placement.note_answered(live, answer, latency_us, now_ms)
+        failed = answer.status >= MIN_FAILED_STATUS
         run_us = answer.service_us or latency_us
         self._observe(live, latency_us, run_us, failed, now_ms)
         self.out.extend(
-            observing.overtaken(self.placing.endpoints, live, now_ms, now_us)
+            observing.overtaken(self.placement.endpoints, live, now_ms, now_us)
         )
         if not failed:
             notice = self.quarantine.succeeded(
                 live.fingerprint, self._next_id()
             )
             if notice is not None:
-                self.out.append(effects.Flood(notice))
+                self.out.append(effects.BroadcastNotice(notice))
         if live.claim is not None:
             self.out.extend(ledgers.settle(live.claim, answer))
             live.claim = None
@@ -398,7 +402,7 @@
 
     def _on_refused(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
@@ -407,10 +411,10 @@
         load = -1 if answer.load is None else answer.load
         wait_ms = 0 if answer.full else answer.retry_after_ms
         if answer.shed:
-            self.balancer.judged(live.endpoint.key, True, now_ms)
+            self.balancer.note_outcome(live.endpoint.key, True, now_ms)
         self.balancer.refused(live.endpoint.key, now_ms, wait_ms, load)
-        if answer.full and not live.settled:
-            live.bounced.add(live.endpoint.key)
+        if answer.full and not live.may_queue:
+            live.full_targets.add(live.endpoint.key)
             live.tried.discard(live.endpoint.key)
         live.retry_after_ms = max(live.retry_after_ms, answer.retry_after_ms)
         if answer.status == 422:
@@ -422,7 +426,7 @@
 
     def _on_crashed(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
@@ -433,26 +437,26 @@
         live.crashes += 1
         # A request that ran alone in the crash is the likely cause: sending
         # it on would take a second target down.
-        again = live.may_repeat and not answer.sole and live.crashes < 2
-        if again and self._may_retry(live, budget.Cause.BROKEN, now_ms):
+        repeatable = live.may_repeat and not answer.sole and live.crashes < 2
+        if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
             self._finish_lost(live, 502, "the target broke off")
 
     def _on_unusable(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
     ) -> None:
         """Ask again where that is safe: what came can't be passed on."""
         latency_us = now_us - live.sent_us
-        self.placing.note_answered(live, answer, latency_us, now_ms)
+        self.placement.note_answered(live, answer, latency_us, now_ms)
         self._observe_failure(live, now_ms, now_us)
         live.may_have_run = True
-        again = live.may_repeat
-        if again and self._may_retry(live, budget.Cause.BROKEN, now_ms):
+        repeatable = live.may_repeat
+        if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
             self._finish_lost(live, 502, answer.reason or "no whole answer")
@@ -463,7 +467,9 @@
         """Note a request that never left this process: it did not run."""
         live = self._take_attempt(request_id)
         unsent = messages.Answer(request_id=request_id, ran=False)
-        if live is not None and self._fall_back(live, unsent, now_ms):
+        if live is not None and self._await_other_attempt(
+            live, unsent, now_ms
+        ):
             return self._flush()
         if live is not None:
             self.balancer.lost(live.endpoint.key, now_ms)
@@ -480,34 +486,34 @@
         """Note that the link broke with a request on it: fate unknown."""
         live = self._take_attempt(request_id)
         lost = messages.Answer(request_id=request_id, ran=True)
-        if live is not None and self._fall_back(live, lost, now_ms):
+        if live is not None and self._await_other_attempt(live, lost, now_ms):
             return self._flush()
         if live is not None:
             self.balancer.lost(live.endpoint.key, now_ms)
             live.may_have_run = True
-            again = live.may_repeat
-            if again and self._may_retry(live, budget.Cause.LOST, now_ms):
+            repeatable = live.may_repeat
+            if repeatable and self._may_retry(live, budget.Cause.LOST, now_ms):
                 self._attempt(live, now_ms, now_us)
             else:
                 self._finish_lost(live, 502, "the target's host is lost")
         return self._flush()
 
-    def doubt(
-        self, host: str, doubted: bool, now_ms: int, now_us: int
+    def set_unresponsive(
+        self, host: str, unresponsive: bool, now_ms: int, now_us: int
     ) -> list[typing.Any]:
         """Note a host whose proxy does not answer, or answers again.
 
         Its targets get nothing new for as long, and what may be repeated is
         asked for at another target beside.
         """
-        self.balancer.doubt(host, doubted)
-        if doubted:
+        self.balancer.set_unresponsive(host, unresponsive)
+        if unresponsive:
             for live in list(self.live.values()):
                 if self._may_hedge(live) and live.endpoint.host == host:
                     self._hedge(live, now_ms, now_us)
         return self._flush()
 
-    def _take_attempt(self, request_id: int) -> lives.Live | None:
+    def _take_attempt(self, request_id: int) -> live_calls.LiveCall | None:
         call_id = self.by_request.pop(request_id, None)
         live = self.live.get(call_id) if call_id is not None else None
         if live is None:
@@ -515,22 +521,28 @@
         if live.request_id != request_id:
             if live.hedge is None or live.hedge.request_id != request_id:
                 return None
-            live.swap()
+            live.swap_attempts()
         return live
 
     # Hedged requests
 
-    def _hedge(self, live: lives.Live, now_ms: int, now_us: int) -> None:
+    def _hedge(
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
+    ) -> None:
         """Ask a second target beside the first, which goes on."""
-        endpoint = self.placing.choose(live, live.tried | live.bounced, now_ms)
-        if endpoint is None or not self.balancer.has_room(endpoint, now_ms):
+        endpoint = self.placement.choose(
+            live, live.tried | live.full_targets, now_ms
+        )
+        if endpoint is None or not self.balancer.has_free_slots(
+            endpoint, now_ms
+        ):
             # Where all are full, requests are slow since they wait; asked
             # for twice they would all wait longer.
             return
         if not self.accounts.withdraw(live.service, budget.Cause.HEDGED):
             return
         first = live.attempt
-        live.settled = False
+        live.may_queue = False
         self._note(
             "request.hedged",
             live,
@@ -543,7 +555,7 @@
         self._send_to(live, endpoint, now_ms, now_us)
         live.hedge = first
 
-    def _may_hedge(self, live: lives.Live) -> bool:
+    def _may_hedge(self, live: live_calls.LiveCall) -> bool:
         if live.hedge is not None or not live.request_id:
             return False
         repeatable = live.route.repeat == messages.Repeat.ANY
@@ -551,31 +563,33 @@
             return False
         return live.attempts < live.route.max_attempts
 
-    def _wants_hedge(self, live: lives.Live, now_ms: int, now_us: int) -> bool:
+    def _wants_hedge(
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
+    ) -> bool:
         if not self._may_hedge(live):
             return False
-        usual_us = self.placing.usual_us(live.route)
-        bound_us = max(usual_us * HEDGE_FACTOR, LEAST_HEDGE_US)
+        usual_us = self.placement.usual_us(live.route)
+        bound_us = max(usual_us * HEDGE_FACTOR, MIN_HEDGE_WAIT_US)
         # An answer that waits for a link would only wait for one more.
         bound_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
         return usual_us > 0 and now_us - live.sent_us >= bound_us
 
-    def _fall_back(
-        self, live: lives.Live, answer: messages.Answer, now_ms: int
+    def _await_other_attempt(
+        self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
     ) -> bool:
         """Wait for the other attempt; False if there is none."""
         if live.hedge is None:
             return False
         key = live.endpoint.key
-        self.balancer.given_up(key)
+        self.balancer.note_cancelled(key)
         if answer.shed or answer.ran:
-            self.balancer.judged(key, True, now_ms)
+            self.balancer.note_outcome(key, True, now_ms)
         if answer.ran:
             live.may_have_run = True
         else:
             live.attempts -= 1
         self.accounts.end(live)
-        live.swap()
+        live.swap_attempts()
         live.hedge = None
         return True
 
@@ -591,7 +605,7 @@
                 self.accounts.end(live)
 
     def _may_place_again(
-        self, live: lives.Live, answer: messages.Answer, now_ms: int
+        self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
     ) -> bool:
         """Tell whether a call that was refused may go to another target.
 
@@ -607,7 +621,7 @@
         return now_ms < live.deadline_at_ms
 
     def _may_retry(
-        self, live: lives.Live, cause: budget.Cause, now_ms: int
+        self, live: live_calls.LiveCall, cause: budget.Cause, now_ms: int
     ) -> bool:
         if live.call.retried or live.attempts >= live.route.max_attempts:
             # A proxy nearer to the caller retries this chain already;
@@ -632,7 +646,7 @@
 
     def _observe(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         latency_us: int,
         run_us: int,
         failed: bool,
@@ -640,7 +654,7 @@
     ) -> None:
         self.out.extend(
             observing.answered(
-                self.placing.endpoints,
+                self.placement.endpoints,
                 live,
                 latency_us=latency_us,
                 run_us=run_us,
@@ -650,7 +664,7 @@
         )
 
     def _observe_failure(
-        self, live: lives.Live, now_ms: int, now_us: int
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
     ) -> None:
         waited_us = now_us - live.sent_us
         self._observe(live, waited_us, waited_us, True, now_ms)
@@ -659,20 +673,20 @@
 
     def cancel(self, call_id: int, now_ms: int) -> list[typing.Any]:
         """Note that the caller went away."""
-        self.early.drop(call_id)
+        self.pending.drop(call_id)
         live = self.live.get(call_id)
         if live is not None:
             self._abandon(live)
             if live.request_id:
-                self.balancer.given_up(live.endpoint.key)
+                self.balancer.note_cancelled(live.endpoint.key)
             self._drop(live)
         return self._flush()
 
     def tick(self, now_ms: int, now_us: int) -> list[typing.Any]:
         """End the calls whose deadline has come."""
-        for call in self.early.expired(now_ms):
+        for call in self.pending.expired(now_ms):
             self._refuse(call, 503, "no configuration is in force yet")
-        self._take_claims(self.claims.tick(now_ms), now_ms, now_us)
+        self._apply_claim_results(self.claims.tick(now_ms), now_ms, now_us)
         late = [
             live
             for live in self.live.values()
@@ -690,7 +704,7 @@
             self._finish_lost(live, 504, "the deadline has passed")
         return self._flush()
 
-    def _abandon(self, live: lives.Live) -> None:
+    def _abandon(self, live: live_calls.LiveCall) -> None:
         """Tell the target's proxy to stop; give an unused claim back."""
         if live.request_id in self.by_request:
             self._tell_cancel(live.request_id, live.endpoint)
@@ -702,18 +716,18 @@
     ) -> None:
         self.by_request.pop(request_id, None)
         self.out.append(
-            effects.Tell(
+            effects.Send(
                 endpoint.host, endpoint.address, messages.Cancel(request_id)
             )
         )
 
-    def _finish_quarantined(self, live: lives.Live) -> None:
+    def _finish_quarantined(self, live: live_calls.LiveCall) -> None:
         self._not_run(
             live, 422, "this request crashed the targets that ran it"
         )
 
-    def _finish_no_target(self, live: lives.Live) -> None:
-        wait_ms = live.retry_after_ms or NO_TARGET_MS
+    def _finish_no_target(self, live: live_calls.LiveCall) -> None:
+        wait_ms = live.retry_after_ms or NO_TARGET_RETRY_AFTER_MS
         reason = "no target can take it in time"
         if live.may_have_run:
             # 503 says that it did not run; an earlier attempt may have.
@@ -722,7 +736,11 @@
         self._not_run(live, 503, reason, wait_ms)
 
     def _not_run(
-        self, live: lives.Live, status: int, reason: str, wait_ms: int = 0
+        self,
+        live: live_calls.LiveCall,
+        status: int,
+        reason: str,
+        wait_ms: int = 0,
     ) -> None:
         if live.claim is not None:
             self.out.extend(ledgers.release(live.claim))
@@ -735,32 +753,36 @@
         )
 
     def _finish_lost(
-        self, live: lives.Live, status: int, reason: str, wait_ms: int = 0
+        self,
+        live: live_calls.LiveCall,
+        status: int,
+        reason: str,
+        wait_ms: int = 0,
     ) -> None:
         if not live.may_have_run:
-            self._not_run(live, status, reason, wait_ms or COME_BACK_MS)
+            self._not_run(live, status, reason, wait_ms or RETRY_AFTER_MS)
             return
         self._finish(
             live,
             calls.Final(
                 live.call.call_id,
                 status,
-                f"{reason}; {RAN_UNKNOWN}",
+                f"{reason}; {OUTCOME_UNKNOWN}",
                 ran=True,
                 retry_after_ms=wait_ms,
             ),
         )
 
-    def _finish_ran_before(self, found: ledgers.Ran) -> None:
-        live = self.live.get(found.call_id)
+    def _finish_ran_before(self, result: ledgers.Ran) -> None:
+        live = self.live.get(result.call_id)
         if live is None:
             return
         live.claim = None
-        if found.answer is None:
+        if result.answer is None:
             self._finish(
                 live,
                 calls.Final(
-                    found.call_id,
+                    result.call_id,
                     409,
                     "the key was used before; its answer is not known here",
                     ran=True,
@@ -769,7 +791,7 @@
             return
         self._finish(
             live,
-            calls.Final.from_answer(found.call_id, found.answer),
+            calls.Final.from_answer(result.call_id, result.answer),
         )
 
     def _finish_unknown(self, call_id: int) -> None:
@@ -783,28 +805,28 @@
                 call_id,
                 503,
                 "not run now; it can't be known whether the key ran before",
-                retry_after_ms=COME_BACK_MS,
+                retry_after_ms=RETRY_AFTER_MS,
             ),
         )
 
-    def _finish(self, live: lives.Live, final: calls.Final) -> None:
+    def _finish(self, live: live_calls.LiveCall, final: calls.Final) -> None:
         if final.own:
             self._note_own(live, final)
         self._drop(live)
         self.out.append(effects.Finish(final))
 
-    def _drop(self, live: lives.Live) -> None:
+    def _drop(self, live: live_calls.LiveCall) -> None:
         self.live.pop(live.call.call_id, None)
         self.by_request.pop(live.request_id, None)
         if live.hedge is not None:
             self._tell_cancel(live.hedge.request_id, live.hedge.endpoint)
-            self.balancer.given_up(live.hedge.endpoint.key)
+            self.balancer.note_cancelled(live.hedge.endpoint.key)
             if live.hedge.paid:
                 self.accounts.arrived(live.service)
             live.hedge = None
         self.accounts.end(live)
 
-    def _note_own(self, live: lives.Live, final: calls.Final) -> None:
+    def _note_own(self, live: live_calls.LiveCall, final: calls.Final) -> None:
         """Log an answer that no target gave, with what led to it."""
         event = "request.lost" if final.ran else "request.refused"
         endpoint = live.endpoint
@@ -819,9 +841,9 @@
         )
 
     def _note(
-        self, event: str, live: lives.Live, **fields: typing.Any
+        self, event: str, live: live_calls.LiveCall, **fields: typing.Any
     ) -> None:
-        revision = self.placing.table.revision if self.placing.table else 0
+        revision = self.placement.table.revision if self.placement.table else 0
         self.out.append(
             common.Note(
                 event,
@@ -830,7 +852,7 @@
                     "route": live.route.name,
                     "service": live.service,
                     "attempts": live.attempts,
-                    "sent_on": len(live.bounced),
+                    "sent_on": len(live.full_targets),
                     "revision": revision,
                 }
                 | fields,
@@ -847,6 +869,6 @@
         return out
 
 
-def _repeat_permille(live: lives.Live) -> int:
+def _repeat_permille(live: live_calls.LiveCall) -> int:
     """Return how likely an attempt is a repeat at its target."""
     return int(1000 * (1.0 if live.paid else live.repeat))
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -343,7 +343,7 @@
         if not claim.keepers:
             del self.pending[claim.claim_id]
             return [Unknown(call_id)]
-        return [effects.Tell(host, "", claim) for host in claim.keepers]
+        return [effects.Send(host, "", claim) for host in claim.keepers]
 
     def hear(self, reply: messages.ClaimReply) -> list[typing.Any]:
         """Take a keeper's reply."""
@@ -392,7 +392,7 @@
 def release(claim: messages.Claim) -> list[typing.Any]:
     """Return the messages that give a claim back."""
     message = messages.ClaimRelease(claim.key, claim.claim_id)
-    return [effects.Tell(host, "", message) for host in claim.keepers]
+    return [effects.Send(host, "", message) for host in claim.keepers]
 
 
 def settle(claim: messages.Claim, answer: messages.Answer) -> list[typing.Any]:
@@ -402,4 +402,4 @@
     if kept is None:
         return [common.Count("ledger.answer_too_large")]
     done = messages.ClaimDone(claim.key, claim.claim_id, kept)
-    return [effects.Tell(host, "", done) for host in claim.keepers]
+    return [effects.Send(host, "", done) for host in claim.keepers]
--- a/libs/requests/src/trefoil_requests/live.py
+++ b/libs/requests/src/trefoil_requests/live.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Live:
+class LiveCall:
     """A call without its final answer yet.
 
     Args:
@@ -68,23 +68,23 @@
     aim_at_ms: int
     claim: messages.Claim | None = None
     service: str = ""
-    drawn: str | None = None
+    drawn_version: str | None = None
     version: str = ""
     endpoint: routing.Endpoint | None = None
     request_id: int = 0
-    first_id: int = 0
+    first_request_id: int = 0
     sent_us: int = 0
     paid: bool = False
     repeat: float = 0.0
     attempts: int = 0
     sends: int = 0
-    settled: bool = False
+    may_queue: bool = False
     crashes: int = 0
     may_have_run: bool = False
     retry_after_ms: int = 0
     hedge: Attempt | None = None
     tried: set[str] = dataclasses.field(default_factory=set)
-    bounced: set[str] = dataclasses.field(default_factory=set)
+    full_targets: set[str] = dataclasses.field(default_factory=set)
 
     @property
     def may_repeat(self) -> bool:
@@ -110,7 +110,7 @@
             return self.hedge
         return None
 
-    def swap(self) -> None:
+    def swap_attempts(self) -> None:
         """Make the other of two attempts the one that counts."""
         other, self.hedge = self.hedge, self.attempt
         self.request_id = other.request_id
--- a/libs/requests/src/trefoil_requests/observing.py
+++ b/libs/requests/src/trefoil_requests/observing.py
@@ -4,13 +4,13 @@
 
 from . import balancer as balancers
 from . import effects
-from . import live as lives
+from . import live as live_calls
 from . import routing
 
 
 def answered(
     endpoints: routing.Endpoints,
-    live: lives.Live,
+    live: live_calls.LiveCall,
     *,
     latency_us: int,
     run_us: int,
@@ -30,7 +30,7 @@
         failed: Whether that counts against the version.
         now_ms: The time on the runtime's clock.
     """
-    if live.request_id != live.first_id:
+    if live.request_id != live.first_request_id:
         return []
     return [
         _observed(
@@ -46,7 +46,10 @@
 
 
 def overtaken(
-    endpoints: routing.Endpoints, live: lives.Live, now_ms: int, now_us: int
+    endpoints: routing.Endpoints,
+    live: live_calls.LiveCall,
+    now_ms: int,
+    now_us: int,
 ) -> list[effects.Observe]:
     """Return a first attempt that its hedge overtook, as slow as it was.
 
@@ -54,7 +57,7 @@
     in time.
     """
     other = live.hedge
-    if other is None or other.request_id != live.first_id:
+    if other is None or other.request_id != live.first_request_id:
         return []
     waited_us = now_us - other.sent_us
     return [
@@ -72,8 +75,8 @@
 
 def _observed(
     endpoints: routing.Endpoints,
-    live: lives.Live,
-    attempt: lives.Attempt,
+    live: live_calls.LiveCall,
+    attempt: live_calls.Attempt,
     *,
     latency_us: int,
     run_us: int,
--- a/libs/requests/src/trefoil_requests/early.py
+++ b/libs/requests/src/trefoil_requests/pending.py
@@ -13,15 +13,15 @@
 
 # The proof takes an election and a few round trips; who waited longer is told
 # to come back.
-HOLD_MS = 400
+MAX_HOLD_MS = 400
 # What is left of a caller's patience must do for its request and for one
 # more try.
-HOLD_SHARE = 0.25
-MOST_HELD = 256
+MAX_HOLD_SHARE = 0.25
+MAX_HELD = 256
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class HeldCall:
     """A call that waits for the first configuration."""
 
     call: calls.Call
@@ -29,22 +29,22 @@
     until_ms: int
 
 
-class Early:
+class PendingCalls:
     """The calls that a proxy holds until it may serve."""
 
     __slots__ = ("by_id",)
 
     def __init__(self) -> None:
-        self.by_id: dict[int, Held] = {}
+        self.by_id: dict[int, HeldCall] = {}
 
     def hold(self, call: calls.Call, now_ms: int) -> bool:
         """Hold a call; return whether there was room."""
-        if len(self.by_id) >= MOST_HELD:
+        if len(self.by_id) >= MAX_HELD:
             return False
-        hold_ms = HOLD_MS
+        hold_ms = MAX_HOLD_MS
         if call.deadline_ms:
-            hold_ms = min(hold_ms, int(call.deadline_ms * HOLD_SHARE))
-        self.by_id[call.call_id] = Held(call, now_ms, now_ms + hold_ms)
+            hold_ms = min(hold_ms, int(call.deadline_ms * MAX_HOLD_SHARE))
+        self.by_id[call.call_id] = HeldCall(call, now_ms, now_ms + hold_ms)
         return True
 
     def drop(self, call_id: int) -> None:
@@ -53,21 +53,21 @@
 
     def release(self, now_ms: int) -> list[calls.Call]:
         """Return all calls, each with what is left of its time."""
-        found = list(self.by_id.values())
+        held_calls = list(self.by_id.values())
         self.by_id = {}
-        for held in found:
+        for held in held_calls:
             if held.call.deadline_ms:
                 left_ms = held.call.deadline_ms - (now_ms - held.since_ms)
                 held.call.deadline_ms = max(left_ms, 1)
-        return [held.call for held in found]
+        return [held.call for held in held_calls]
 
     def expired(self, now_ms: int) -> list[calls.Call]:
         """Take out the calls that waited long enough."""
-        late = [
+        expired = [
             held.call
             for held in self.by_id.values()
             if now_ms >= held.until_ms
         ]
-        for call in late:
+        for call in expired:
             self.drop(call.call_id)
-        return late
+        return expired
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placement.py
@@ -8,28 +8,28 @@
 from . import balancer as balancers
 from . import bodies
 from . import crossing
-from . import live as lives
+from . import live as live_calls
 from . import routing
 
 # How many times a request is sent on from a full target before it waits at
 # the next. With two, a free slot among a dozen targets is found nearly
 # always; each costs a round trip between proxies.
-BOUNCES = 2
+MAX_FULL_TARGETS = 2
 # A call that costs this part of an answer in time to send far is not sent far
 # on trial.
-COSTLY = 0.1
+COSTLY_CROSSING = 0.1
 # What goes to another host passes both hosts' links. On links of 4 Mbit/s a
 # KiB takes 2 ms on each; where they are filled by a burst, calls that stay on
 # their host are what still gets through.
-AWAY_US_A_KIB = 4000.0
+REMOTE_US_PER_KIB = 4000.0
 # Some twenty calls: a route's usual work is known within seconds of its first
 # call, and one long call does not make it look slow.
 MEAN_WEIGHT = 0.05
 # A target's own failures; what a caller did wrong (4xx) says nothing of it.
-FAILED_STATUS = 500
+MIN_TARGET_FAULT_STATUS = 500
 
 
-class Placing:
+class Placement:
     """The choice of targets at one entry proxy.
 
     Args:
@@ -78,21 +78,21 @@
         """Return how long a route's requests run as a rule, 0 if unknown."""
         return self.route_means.get(route.name, 0.0)
 
-    def choose_and_settle(
-        self, live: lives.Live, now_ms: int
+    def place(
+        self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
         """Return a target, and settle whether a call may wait there.
 
         The body of a large call does not leave before the call is taken, so
         it costs little to send one on.
         """
-        costly = self._far_cost(live.route) >= COSTLY
+        costly = self._crossing_cost(live.route) >= COSTLY_CROSSING
         if costly and not bodies.is_large(live.call.body):
             return self._choose_costly(live, now_ms)
-        return self._choose_by_trial(live, now_ms)
+        return self._choose_by_forwarding(live, now_ms)
 
     def _choose_costly(
-        self, live: lives.Live, now_ms: int
+        self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
         """Place a call whose bytes are costly to send far.
 
@@ -100,13 +100,14 @@
         far one that it is sent to: refused there, it would cross once more.
         """
         endpoint = self.choose(live, live.tried, now_ms)
-        live.settled = endpoint is not None and (
-            self._is_far(endpoint) or endpoint.key in live.bounced
+        live.may_queue = endpoint is not None and (
+            self._is_cross_domain(endpoint)
+            or endpoint.key in live.full_targets
         )
         return endpoint
 
-    def _choose_by_trial(
-        self, live: lives.Live, now_ms: int
+    def _choose_by_forwarding(
+        self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
         """Place a call that costs little to send on.
 
@@ -114,20 +115,27 @@
         is likely to be found. Then it waits at the one that looks best, full
         ones among them.
         """
-        live.settled = False
-        if len(live.bounced) < BOUNCES:
-            endpoint = self.choose(live, live.tried | live.bounced, now_ms)
+        live.may_queue = False
+        if len(live.full_targets) < MAX_FULL_TARGETS:
+            endpoint = self.choose(
+                live, live.tried | live.full_targets, now_ms
+            )
             if endpoint is not None:
-                live.settled = self._is_refused_far(live, endpoint, now_ms)
+                live.may_queue = self._would_cross_to_full(
+                    live, endpoint, now_ms
+                )
                 return endpoint
-        live.settled = True
+        live.may_queue = True
         return self.choose(live, live.tried, now_ms)
 
-    def _is_far(self, endpoint: routing.Endpoint) -> bool:
+    def _is_cross_domain(self, endpoint: routing.Endpoint) -> bool:
         return endpoint.domain != self.balancer.domain
 
-    def _is_refused_far(
-        self, live: lives.Live, endpoint: routing.Endpoint, now_ms: int
+    def _would_cross_to_full(
+        self,
+        live: live_calls.LiveCall,
+        endpoint: routing.Endpoint,
+        now_ms: int,
     ) -> bool:
         """Tell whether a call would go far to be refused once more.
 
@@ -136,13 +144,13 @@
         and are in time no more often than those that wait.
         """
         return (
-            self._is_far(endpoint)
-            and bool(live.bounced)
+            self._is_cross_domain(endpoint)
+            and bool(live.full_targets)
             and self.balancer.is_full(endpoint, now_ms)
         )
 
     def choose(
-        self, live: lives.Live, tried: set[str], now_ms: int
+        self, live: live_calls.LiveCall, tried: set[str], now_ms: int
     ) -> routing.Endpoint | None:
         """Return a target of the drawn version, else of another in force.
 
@@ -154,28 +162,29 @@
         service = live.service
         if self.table is None or service not in self.table.shares:
             return None
-        named = {s.version for s in self.table.shares[service].shares}
-        hurry = self._hurry(live, now_ms)
+        named_versions = {s.version for s in self.table.shares[service].shares}
+        urgency = self._urgency(live, now_ms)
         for version in self._versions(live):
-            holding = self.endpoints.holding(
-                service, version, live.route.resource, named
+            serving = self.endpoints.serving(
+                service, version, live.route.resource, named_versions
             )
             endpoint = self.balancer.pick(
-                holding,
+                serving,
                 self.endpoints.first_seen_ms,
                 tried=tried,
                 now_ms=now_ms,
-                hurry=hurry,
-                away_us=self._kib(live.route) * AWAY_US_A_KIB,
+                urgency=urgency,
+                remote_penalty_us=self._mean_kib(live.route)
+                * REMOTE_US_PER_KIB,
                 large=bodies.is_large(live.call.body),
             )
             if endpoint is not None:
                 return endpoint
-            if holding and not self.table.may_overflow(service, version):
+            if serving and not self.table.may_overflow(service, version):
                 break
         return None
 
-    def _versions(self, live: lives.Live) -> list[str]:
+    def _versions(self, live: live_calls.LiveCall) -> list[str]:
         """Return the versions that may serve a call, the drawn one first.
 
         One is drawn once for each call. Drawn anew whenever a full target
@@ -184,31 +193,35 @@
         """
         halted = self.halted.get(live.service, frozenset())
         in_force = self.table.versions(live.service)
-        if live.drawn not in in_force or live.drawn in halted:
-            live.drawn = self.table.draw_version(
+        if live.drawn_version not in in_force or live.drawn_version in halted:
+            live.drawn_version = self.table.draw_version(
                 live.service, self.rng, halted
             )
-        others = [v for v in in_force if v != live.drawn and v not in halted]
-        return [live.drawn] + others
-
-    def _hurry(self, live: lives.Live, now_ms: int) -> crossing.Hurry:
+        others = [
+            v for v in in_force if v != live.drawn_version and v not in halted
+        ]
+        return [live.drawn_version] + others
+
+    def _urgency(
+        self, live: live_calls.LiveCall, now_ms: int
+    ) -> crossing.Hurry:
         return crossing.Hurry(
             (live.aim_at_ms - now_ms) * 1000,
             (live.deadline_at_ms - now_ms) * 1000,
-            self._far_cost(live.route),
+            self._crossing_cost(live.route),
         )
 
-    def _far_cost(self, route: messages.Route) -> float:
+    def _crossing_cost(self, route: messages.Route) -> float:
         """Return what it costs to send a call far, in answers in time."""
-        return crossing.cost(self._kib(route))
+        return crossing.cost(self._mean_kib(route))
 
-    def _kib(self, route: messages.Route) -> float:
+    def _mean_kib(self, route: messages.Route) -> float:
         """Return how much a route's calls carry as a rule, both ways."""
         return self.route_bytes.get(route.name, 0.0) / 1024
 
     def note_answered(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         latency_us: int,
         now_ms: int,
@@ -218,12 +231,16 @@
         Routes differ in their work several times over; compared as they
         are, a target that got two long requests would look slow.
         """
-        self._mean(self.route_bytes, live.route.name, _moved(live, answer))
-        failed = answer.unusable or answer.status >= FAILED_STATUS
-        self.balancer.judged(live.endpoint.key, failed, now_ms)
+        self._update_mean(
+            self.route_bytes, live.route.name, _carried_bytes(live, answer)
+        )
+        failed = answer.unusable or answer.status >= MIN_TARGET_FAULT_STATUS
+        self.balancer.note_outcome(live.endpoint.key, failed, now_ms)
         took_us = answer.service_us or latency_us
-        route_us = self._mean(self.route_means, live.route.name, took_us)
-        mean_us = self._mean(self.service_means, live.service, took_us)
+        route_us = self._update_mean(
+            self.route_means, live.route.name, took_us
+        )
+        mean_us = self._update_mean(self.service_means, live.service, took_us)
         self.balancer.answered(
             live.endpoint.key,
             took_us * mean_us / max(route_us, 1.0),
@@ -232,7 +249,7 @@
             answer.usual_us or 0,
         )
 
-    def _mean(
+    def _update_mean(
         self, means: dict[str, float], name: str, took_us: float
     ) -> float:
         mean = means.get(name, float(took_us))
@@ -241,7 +258,7 @@
         return mean
 
 
-def _moved(live: lives.Live, answer: messages.Answer) -> int:
+def _carried_bytes(live: live_calls.LiveCall, answer: messages.Answer) -> int:
     """Return how many bytes a call and its answer carry."""
     asked = len(live.call.headers) + len(live.call.body)
     return asked + len(answer.headers or b"") + len(answer.body or b"")
--- a/libs/requests/src/trefoil_requests/quarantine.py
+++ b/libs/requests/src/trefoil_requests/quarantine.py
@@ -5,13 +5,13 @@
 from trefoil_wire import messages
 
 CRASHES_ALLOWED = 2
-SOLE_MS = 600_000
-AMBIGUOUS_MS = 60_000
+SOLE_SUSPECT_MS = 600_000
+SHARED_SUSPECT_MS = 60_000
 MAX_MARKS = 4096
 
 
 @dataclasses.dataclass(slots=True)
-class Mark:
+class CrashMark:
     """One crash that a request was running in."""
 
     notice_id: int
@@ -29,7 +29,7 @@
     __slots__ = ("marks", "seen")
 
     def __init__(self) -> None:
-        self.marks: dict[int, list[Mark]] = {}
+        self.marks: dict[int, list[CrashMark]] = {}
         self.seen: dict[int, int] = {}
 
     def crashes(self, fingerprint: int, now_ms: int) -> int:
@@ -58,8 +58,8 @@
                 self.marks.pop(fingerprint, None)
             return True
         sole = len(notice.fingerprints) == 1
-        lasts_ms = SOLE_MS if sole else AMBIGUOUS_MS
-        mark = Mark(notice.notice_id, now_ms + lasts_ms - notice.age_ms)
+        lasts_ms = SOLE_SUSPECT_MS if sole else SHARED_SUSPECT_MS
+        mark = CrashMark(notice.notice_id, now_ms + lasts_ms - notice.age_ms)
         for fingerprint in notice.fingerprints:
             self.marks.setdefault(fingerprint, []).append(mark)
         while len(self.marks) > MAX_MARKS:
--- a/libs/requests/src/trefoil_requests/routing.py
+++ b/libs/requests/src/trefoil_requests/routing.py
@@ -12,7 +12,7 @@
 
 ANY = "*"
 # The version that stands for all that no other share of its service names.
-UNNAMED = ""
+OTHER_VERSIONS = ""
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,7 +40,7 @@
     __slots__ = (
         "revision",
         "routes",
-        "places",
+        "by_prefix",
         "shares",
         "services",
         "excluded",
@@ -49,11 +49,11 @@
 
     def __init__(self, items: item_store.Items) -> None:
         self.revision = items.revision
-        self.routes = sorted(items.all(item_store.ROUTE), key=_specific_first)
-        self.places: dict[tuple[str, str], list[messages.Route]] = {}
+        self.routes = sorted(items.all(item_store.ROUTE), key=_by_specificity)
+        self.by_prefix: dict[tuple[str, str], list[messages.Route]] = {}
         for route in self.routes:
-            place = (route.host, route.prefix.rstrip("/"))
-            self.places.setdefault(place, []).append(route)
+            key = (route.host, route.prefix.rstrip("/"))
+            self.by_prefix.setdefault(key, []).append(route)
         self.limits: messages.CallerLimits | None = items.get(
             item_store.LIMITS
         )
@@ -72,12 +72,12 @@
             ProtocolError: No route takes it (404), or none with its method
                 (405).
         """
-        elsewhere = False
+        other_method = False
         for route in self._candidates(host, path.partition("?")[0]):
             if not route.methods or method in route.methods:
                 return route
-            elsewhere = True
-        if elsewhere:
+            other_method = True
+        if other_method:
             raise errors.ProtocolError(405, f"no route takes {method} here")
         raise errors.ProtocolError(404, "no route takes this path")
 
@@ -90,14 +90,16 @@
         compared with each request's path one by one.
         """
         for name in (host, ANY):
-            at = path
+            ancestor = path
             while True:
-                for route in self.places.get((name, at), ()):
-                    if _under(path, route.prefix):
+                for route in self.by_prefix.get((name, ancestor), ()):
+                    if _is_under_prefix(path, route.prefix):
                         yield route
-                if not at:
+                if not ancestor:
                     break
-                at = at[: at.rfind("/")] if "/" in at else ""
+                ancestor = (
+                    ancestor[: ancestor.rfind("/")] if "/" in ancestor else ""
+                )
 
     def draw_version(
         self, service: str, rng: random.Random, halted: frozenset[str]
@@ -111,17 +113,19 @@
                 evidence.
         """
         shares = self.shares[service].shares
-        live = [s for s in shares if s.permille and s.version not in halted]
-        if not live:
-            live = [s for s in shares if s.permille] or shares
-        if len(live) == 1:
-            return live[0].version
-        draw = rng.randrange(sum(share.permille for share in live))
-        for share in live:
+        eligible = [
+            s for s in shares if s.permille and s.version not in halted
+        ]
+        if not eligible:
+            eligible = [s for s in shares if s.permille] or shares
+        if len(eligible) == 1:
+            return eligible[0].version
+        draw = rng.randrange(sum(share.permille for share in eligible))
+        for share in eligible:
             draw -= share.permille
             if draw < 0:
                 return share.version
-        return live[-1].version
+        return eligible[-1].version
 
     def versions(self, service: str) -> list[str]:
         """Return the versions with a share, greatest share first."""
@@ -140,7 +144,7 @@
         return version != self.versions(service)[0]
 
 
-def _under(path: str, prefix: str) -> bool:
+def _is_under_prefix(path: str, prefix: str) -> bool:
     """Tell whether a path lies under a prefix, at a segment's edge."""
     if not path.startswith(prefix):
         return False
@@ -151,7 +155,7 @@
     )
 
 
-def _specific_first(route: messages.Route) -> tuple[int, str]:
+def _by_specificity(route: messages.Route) -> tuple[int, str]:
     return -len(route.prefix), route.name
 
 
@@ -199,7 +203,9 @@
                     continue
                 if target.state != messages.TargetState.DRAINING:
                     self._add(record, target, now_ms)
-        self.hosts_of = {name: sorted(found) for name, found in hosts.items()}
+        self.hosts_of = {
+            name: sorted(host_names) for name, host_names in hosts.items()
+        }
         for key in list(self.first_seen_ms):
             if key not in self.by_key:
                 del self.first_seen_ms[key]
@@ -217,12 +223,12 @@
         self.by_key[endpoint.key] = endpoint
         self.first_seen_ms.setdefault(endpoint.key, now_ms)
 
-    def holding(
+    def serving(
         self,
         service: str,
         version: str,
         resource: str,
-        named: collections.abc.Container[str] = (),
+        named_versions: collections.abc.Container[str] = (),
     ) -> list[Endpoint]:
         """Return the targets of a version that hold a resource.
 
@@ -232,10 +238,14 @@
             resource: The resource, empty for any.
             named: Versions that the service's shares name.
         """
-        found = self.by_version.get((service, version), [])
-        if version == UNNAMED:
-            every = self.by_service.get(service, [])
-            found = [e for e in every if e.target.version not in named]
+        endpoints = self.by_version.get((service, version), [])
+        if version == OTHER_VERSIONS:
+            all_versions = self.by_service.get(service, [])
+            endpoints = [
+                e
+                for e in all_versions
+                if e.target.version not in named_versions
+            ]
         if not resource:
-            return found
-        return [e for e in found if resource in e.target.resources]
+            return endpoints
+        return [e for e in endpoints if resource in e.target.resources]
--- a/libs/requests/src/trefoil_requests/spending.py
+++ b/libs/requests/src/trefoil_requests/spending.py
@@ -4,44 +4,44 @@
 
 from . import budget
 
-TELL_MS = 1000
+REPORT_INTERVAL_MS = 1000
 
 
-class Spending:
+class SpendingLog:
     """Tells each second what was spent, by service and cause.
 
     Repeats are bounded over all hosts, and no host sees the sum. These lines
     add up to it, for any window and service.
     """
 
-    __slots__ = ("told", "tell_at_ms")
+    __slots__ = ("reported", "next_report_ms")
 
     def __init__(self) -> None:
-        self.told: dict[str, dict[str, float]] = {}
-        self.tell_at_ms = 0
+        self.reported: dict[str, dict[str, float]] = {}
+        self.next_report_ms = 0
 
     def tell(
         self, budgets: dict[str, budget.RetryBudget], now_ms: int
     ) -> list[common.Note]:
         """Return a line for each service that got repeats since the last."""
-        if now_ms < self.tell_at_ms:
+        if now_ms < self.next_report_ms:
             return []
-        self.tell_at_ms = now_ms + TELL_MS
-        found = []
-        for service, paying in budgets.items():
-            spent = self._since_told(service, paying)
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS
+        notes = []
+        for service, retry_budget in budgets.items():
+            spent = self._since_last_report(service, retry_budget)
             if any(spent[cause] for cause in budget.Cause):
-                left = round(paying.tokens, 1)
+                left = round(retry_budget.tokens, 1)
                 fields = {"service": service, "left": left} | spent
-                found.append(common.Note("budget.spent", fields))
-        return found
+                notes.append(common.Note("budget.spent", fields))
+        return notes
 
-    def _since_told(
-        self, service: str, paying: budget.RetryBudget
+    def _since_last_report(
+        self, service: str, retry_budget: budget.RetryBudget
     ) -> dict[str, float]:
-        totals = {"requests": paying.requests} | paying.spent
-        before = self.told.get(service, {})
-        self.told[service] = totals
+        totals = {"requests": retry_budget.requests} | retry_budget.spent
+        before = self.reported.get(service, {})
+        self.reported[service] = totals
         return {
             str(name): round(total - before.get(name, 0), 1)
             for name, total in totals.items()
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -486,7 +486,7 @@
         entry.dispatched_ms = now_ms
         if entry.request.repeat_permille == PAID_PERMILLE:
             request_id = entry.request.request_id
-            self.out.append(effects.Arrived(entry.origin, request_id))
+            self.out.append(effects.RepeatArrived(entry.origin, request_id))
         target = self.targets[entry.target]
         self.out.append(
             effects.Dispatch(
@@ -538,7 +538,7 @@
 
     def _called_permille(self, request: messages.Request) -> int:
         """Return which part of such requests its proxy's targets send."""
-        share = self.origins.called_share(
+        share = self.origins.call_share(
             request.route, request.services_key or ""
         )
         return int(1000 * share)
@@ -705,7 +705,7 @@
             cleared=False,
         )
         self.quarantine.hear(notice, crash.since_ms)
-        self.out.append(effects.Flood(notice))
+        self.out.append(effects.BroadcastNotice(notice))
         for victim in crash.victims:
             self._note("target.crashed", victim, sole=sole)
             answer = messages.Answer(
--- a/libs/requests/src/trefoil_requests/warmup.py
+++ b/libs/requests/src/trefoil_requests/warmup.py
@@ -16,7 +16,7 @@
 # What a target says of its warm-up is some way old.
 MARGIN_MS = 50
 # A request of the burst is left out: bounds count whole requests.
-SPARED = 1.0
+RESERVED_REQUESTS = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -47,7 +47,7 @@
         if not service.warmup_per_s:
             return None
         per_s = service.warmup_per_s * overage
-        burst = max(slack - SPARED, 1.0)
+        burst = max(slack - RESERVED_REQUESTS, 1.0)
         return cls(per_s, burst, service.warmup_ms)
 
 
--- a/libs/requests/tests/test_attribution.py
+++ b/libs/requests/tests/test_attribution.py
@@ -20,12 +20,12 @@
 
 def origins(front: int, back: int) -> attribution.Origins:
     """Return what a target saw of a route, by what its senders are beside."""
-    found = attribution.Origins()
-    found.hosts = HOSTS
+    senders = attribution.Origins()
+    senders.hosts = HOSTS
     for beside, count in (("front", front), ("back", back)):
         for _ in range(count):
-            found.note("r", beside)
-    return found
+            senders.note("r", beside)
+    return senders
 
 
 @pytest.mark.parametrize(
@@ -41,25 +41,25 @@
 def test_calls_come_only_from_the_hosts_whose_targets_make_them(
     front: int, back: int, share: float
 ) -> None:
-    found = origins(front, back)
-    assert found.called_share("r", "front") == pytest.approx(share)
+    senders = origins(front, back)
+    assert senders.call_share("r", "front") == pytest.approx(share)
 
 
 def test_where_all_hosts_are_alike_nothing_is_taken_for_a_call() -> None:
-    found = attribution.Origins()
-    found.hosts = {"front": 8}
-    found.note("r", "front")
-    assert found.called_share("r", "front") == 0.0
+    senders = attribution.Origins()
+    senders.hosts = {"front": 8}
+    senders.note("r", "front")
+    assert senders.call_share("r", "front") == 0.0
 
 
 def test_old_requests_are_forgotten() -> None:
     """A route that only targets used is opened to callers."""
-    found = origins(attribution.REMEMBERED, 0)
-    for _ in range(3 * attribution.REMEMBERED):
-        found.note("r", "front")
-        found.note("r", "front")
-        found.note("r", "back")
-    assert found.called_share("r", "front") == pytest.approx(0, abs=0.1)
+    senders = origins(attribution.MAX_COUNTED, 0)
+    for _ in range(3 * attribution.MAX_COUNTED):
+        senders.note("r", "front")
+        senders.note("r", "front")
+        senders.note("r", "back")
+    assert senders.call_share("r", "front") == pytest.approx(0, abs=0.1)
 
 
 def test_a_call_is_shared_out_over_the_runs_that_may_have_made_it() -> None:
@@ -88,26 +88,28 @@
 
 
 def test_what_a_few_targets_tell_evens_out() -> None:
-    called = attribution.Called()
-    assert called.part("r") == 1.0
+    call_shares = attribution.CallShares()
+    assert call_shares.share("r") == 1.0
     for _ in range(30):
         for permille in (-400, 100, 400):
-            called.told("r", permille)
-    assert called.part("r") == 0.0
-    called.told("r", attribution.LEAST_PERMILLE - 1)
-    called.told("r", None)
-    assert called.part("r") == 0.0
+            call_shares.add_report("r", permille)
+    assert call_shares.share("r") == 0.0
+    call_shares.add_report("r", attribution.MIN_PERMILLE - 1)
+    call_shares.add_report("r", None)
+    assert call_shares.share("r") == 0.0
 
 
 def test_routes_that_are_gone_are_forgotten() -> None:
-    called = attribution.Called({"r": 1.0, "s": 0.5})
-    called.keep_only({"s"})
-    assert called.parts == {"s": 0.5}
+    call_shares = attribution.CallShares({"r": 1.0, "s": 0.5})
+    call_shares.keep_only({"s"})
+    assert call_shares.shares == {"s": 0.5}
     parents = attribution.Parents({"r": 1.0, "s": 0.5})
     parents.keep_only({"s"})
     assert parents.calls_of == {"s": 0.5}
 
 
 def test_hosts_are_counted_by_what_is_beside_them() -> None:
-    found = attribution.hosts_by_services([["b", "a"], ["a", "b"], [], ["a"]])
-    assert found == {"a,b": 2, "": 1, "a": 1}
+    senders = attribution.hosts_by_services(
+        [["b", "a"], ["a", "b"], [], ["a"]]
+    )
+    assert senders == {"a,b": 2, "": 1, "a": 1}
--- a/libs/requests/tests/test_balancer.py
+++ b/libs/requests/tests/test_balancer.py
@@ -104,7 +104,7 @@
     [("/a", True), ("/a/b", True), ("/a?x", True), ("/ab", False)],
 )
 def test_prefixes_end_at_segments(path: str, taken: bool) -> None:
-    assert routing._under(path.partition("?")[0], "/a") is taken
+    assert routing._is_under_prefix(path.partition("?")[0], "/a") is taken
 
 
 def test_a_silent_connection_is_found() -> None:
@@ -147,8 +147,8 @@
         made.started(f"{name}/t")
         made.answered(f"{name}/t", took_us)
     assert made.pick(both, WARM, now_ms=NOW_MS).host == "b"
-    hurry = crossing.Hurry(500_000, 2_000_000, crossing.cost(5))
-    near = made.pick(both, WARM, now_ms=NOW_MS, hurry=hurry)
+    urgency = crossing.Hurry(500_000, 2_000_000, crossing.cost(5))
+    near = made.pick(both, WARM, now_ms=NOW_MS, urgency=urgency)
     assert near.host == "a"
 
 
@@ -163,9 +163,9 @@
         for name in "ab":
             made.started(f"{name}/t")
             made.answered(f"{name}/t", 20_000)
-        made.judged("a/t", number % 2 == 0, NOW_MS)
+        made.note_outcome("a/t", number % 2 == 0, NOW_MS)
     assert picks(made, both)["a"] == 0
-    later = NOW_MS + balancers.FAILING_FADES_MS
+    later = NOW_MS + balancers.FAILURE_DECAY_MS
     assert made.pick([endpoint("a")], WARM, now_ms=later) is not None
     found = {made.pick(both, WARM, now_ms=later).host for _ in range(100)}
     assert found == {"a", "b"}
--- a/libs/requests/tests/test_budget.py
+++ b/libs/requests/tests/test_budget.py
@@ -31,7 +31,7 @@
     def start(self) -> budget.RetryBudget:
         """Return the budget of a proxy that starts, and hears of others."""
         made = budget.RetryBudget(RATIO)
-        made.limit(SLACK / PROXIES)
+        made.set_reserve(SLACK / PROXIES)
         return made
 
     def play(self, per_s: int, *, restarts: bool) -> None:
@@ -116,6 +116,6 @@
     found = budget.RetryBudget(1.0, reserve=3)
     found.deposit()
     assert found.withdraw(budget.Cause.REFUSED)
-    found.give_back()
+    found.refund()
     assert found.tokens == 1
-    assert found.under_way == 0
+    assert found.in_flight == 0
--- a/libs/requests/tests/test_pace.py
+++ b/libs/requests/tests/test_pace.py
@@ -65,14 +65,14 @@
         known.put(record(number, time_us(number) if told else 0), 0)
     endpoints = routing.Endpoints()
     endpoints.rebuild(known, None, 0)
-    holding = endpoints.holding("s", "v1", "")
+    serving = endpoints.serving("s", "v1", "")
     slow = 0
     for proxy in range(PROXIES):
         rng = random.Random(proxy)
         made = balancers.Balancer(f"d{proxy % 4}", rng)
         for number in range(REQUESTS):
             now_ms = 10_000 + 150 * number
-            found = made.pick(holding, {}, now_ms=now_ms, hurry=HURRY)
+            found = made.pick(serving, {}, now_ms=now_ms, urgency=HURRY)
             made.started(found.key)
             of = int(found.host[1:])
             slow += is_slow(of)
--- a/libs/requests/tests/test_spending.py
+++ b/libs/requests/tests/test_spending.py
@@ -5,19 +5,19 @@
 
 
 def test_a_second_of_repeats_is_told_by_cause() -> None:
-    paying = budget.RetryBudget(0.5)
-    budgets = {"s": paying, "quiet": budget.RetryBudget(0.5)}
-    teller = spending.Spending()
-    assert teller.tell(budgets, 0) == []
+    retry_budget = budget.RetryBudget(0.5)
+    budgets = {"s": retry_budget, "quiet": budget.RetryBudget(0.5)}
+    spending_log = spending.SpendingLog()
+    assert spending_log.tell(budgets, 0) == []
     for _ in range(4):
-        paying.deposit()
-    assert paying.withdraw(budget.Cause.REFUSED)
-    assert paying.withdraw(budget.Cause.HEDGED)
-    assert teller.tell(budgets, spending.TELL_MS - 1) == []
-    (note,) = teller.tell(budgets, spending.TELL_MS)
+        retry_budget.deposit()
+    assert retry_budget.withdraw(budget.Cause.REFUSED)
+    assert retry_budget.withdraw(budget.Cause.HEDGED)
+    assert spending_log.tell(budgets, spending.REPORT_INTERVAL_MS - 1) == []
+    (note,) = spending_log.tell(budgets, spending.REPORT_INTERVAL_MS)
     assert note.event == "budget.spent"
     assert note.fields["service"] == "s"
     assert note.fields["requests"] == 4
     assert note.fields["refused"] == note.fields["hedged"] == 1
     assert note.fields["lost"] == 0
-    assert teller.tell(budgets, 2 * spending.TELL_MS) == []
+    assert spending_log.tell(budgets, 2 * spending.REPORT_INTERVAL_MS) == []
