--- a/libs/requests/src/trefoil_requests/call.py
+++ b/libs/requests/src/trefoil_requests/call.py
@@ -1,4 +1,4 @@
-"""A caller's request and the final answer to it, as the cores see them."""
+"""A caller's request and its final answer, independent of HTTP parsing."""
 
 import dataclasses
 
@@ -28,19 +28,19 @@
     """A caller's request.
 
     Args:
-        call_id: This proxy's number for it.
+        call_id: Its id at this proxy.
         method: HTTP method.
         host: Value of the Host header, without the port.
         path: Path and query as sent.
         headers: Header lines as sent, hop-by-hop ones removed.
         body: Whole body.
         key: Idempotency key, empty without one.
-        deadline_ms: What the caller allows, 0 without a limit.
-        retried: Whether a proxy before this one already retries the chain
-            that this call belongs to.
+        deadline_ms: Time limit given by the caller, 0 without one.
+        retried: Whether an upstream proxy already retries the chain of
+            calls that this one belongs to.
         caller_id: The caller's own id of the request, for logs; empty
             without one.
-        entered_ms: How long it took from its first byte until it was whole.
+        entered_ms: Time from its first byte until it was received completely.
     """
 
     call_id: int
@@ -56,7 +56,7 @@
     entered_ms: int = 0
 
     def fingerprint(self) -> int:
-        """Return a hash by which a resend of the request is known."""
+        """Return a hash that identifies resends of the same request."""
         head = f"{self.method} {self.path}\0".encode("utf-8", "replace")
         return hashing.hash64(head + self.body)
 
@@ -66,14 +66,14 @@
     """The final answer to a call.
 
     Args:
-        call_id: The call's number.
+        call_id: The call's id.
         status: HTTP status.
-        reason: Reason phrase, or the explanation of a proxy's own answer.
+        reason: Reason phrase, or the explanation if a proxy generated it.
         headers: Header lines of the target's answer.
         body: Whole body.
-        ran: False only where the request certainly did not run.
-        retry_after_ms: When to come back; 0 says nothing.
-        own: Whether a proxy made the answer, not the target.
+        ran: False only if the request certainly did not run.
+        retry_after_ms: When the caller should retry; 0 for no advice.
+        own: Whether a proxy generated the answer instead of the target.
     """
 
     call_id: int
--- a/libs/requests/src/trefoil_requests/effects.py
+++ b/libs/requests/src/trefoil_requests/effects.py
@@ -1,4 +1,4 @@
-"""What the request cores ask their process to do."""
+"""Effects that the request cores ask their process to carry out."""
 
 import dataclasses
 
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CheckTarget:
-    """Find out whether a target of this host takes connections."""
+    """Check whether a target of this host accepts connections."""
 
     target: str
     port: int
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CheckWarmup:
-    """Ask a target of this host how much longer it is cold."""
+    """Ask a target of this host how much longer it will be cold."""
 
     target: str
     port: int
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RepeatArrived:
-    """Tell the proxy that paid for a repeat that it is at its target."""
+    """Notify the proxy that paid for a repeat that it reached its target."""
 
     origin: str
     request_id: int
@@ -84,25 +84,25 @@
 
 @dataclasses.dataclass(slots=True)
 class BroadcastNotice:
-    """Spread a crash notice over the fleet's links."""
+    """Broadcast a crash notice over the fleet's links."""
 
     notice: messages.CrashNotice
 
 
 @dataclasses.dataclass(slots=True)
 class Observe:
-    """Note an answer for metrics and for the judgement of versions.
+    """Record an answer for metrics and for the comparison of versions.
 
     Args:
         route: Name of the route.
         tenant: The route's tenant or class.
         version: The version that answered.
         domain: Failure domain of its target.
-        latency_us: Time from the request's departure to the answer.
+        latency_us: Time from sending the request to the answer.
         run_us: How long the target ran it, without the wait for a slot and
-            the way.
+            without network time.
         failed: Whether the answer counts against the version.
-        cold: Whether the target is new here or says that it is cold.
+        cold: Whether the target is new to this proxy or reports itself cold.
     """
 
     route: str
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -1,8 +1,8 @@
-"""The entry core: a caller's request from its first byte to its answer.
+"""The entry core: handles a caller's request until its final answer.
 
-It chooses the route, version and target, claims the key of a once-only
-request, retries where that is safe, and gives every call exactly one final
-answer. It does no input or output.
+It chooses the route, version and target, claims the idempotency key of a
+once-only request, retries where that is safe, and gives every call exactly one
+final answer. It performs no input or output itself.
 """
 
 import random
@@ -24,36 +24,36 @@
 from . import observing
 from . import patience as patiences
 from . import pending as pending_calls
-from . import placement as placements
+from . import placing as placements
 from . import quarantine as quarantines
 from . import routing
 
-# A safe request that takes this many times what its route usually does is
-# asked for once more elsewhere: its answer is probably lost, or its target
-# slow. One in thirty does so on a calm day.
+# A safe request that takes this many times its route's usual run time is sent
+# to a second target: its answer is probably lost, or its target slow. In
+# normal operation this applies to one request in thirty.
 HEDGE_FACTOR = 3.0
 MIN_HEDGE_WAIT_US = 50_000
-# Refusals of targets' proxies cost no run and no retry budget, but each
-# costs its caller a round trip.
+# Refusals by targets' proxies cost no run and no retry budget, but each costs
+# its caller a round trip.
 MAX_PLACEMENTS = 5
 RETRY_AFTER_MS = 1000
 NO_TARGET_RETRY_AFTER_MS = 100
 MIN_FAILED_STATUS = 400
-OUTCOME_UNKNOWN = "it is not known whether the request ran"
+OUTCOME_UNKNOWN = "it is unknown whether the request ran"
 
 
 class LocalTargets(typing.Protocol):
-    """What the entry core needs to know of the targets beside it."""
+    """The local targets, as far as the entry core uses them."""
 
     @property
     def services_key(self) -> str:
-        """Return what names their services."""
+        """Return the key of their set of services."""
 
     def repeat_share(self, share: float) -> float:
-        """Return how likely a request that comes now is a repeat's call.
+        """Return the probability that a new request is a repeat's call.
 
         Args:
-            part: How likely it is a call at all.
+            share: Probability that it is a call at all.
         """
 
 
@@ -61,12 +61,12 @@
     """The entry core of one proxy.
 
     Args:
-        me: Name of this host.
+        local_host: Name of this host.
         domain: Its failure domain.
-        ledger: The keys that this host keeps; its keeper sets tell who
-            keeps which key.
+        ledger: This host's replica of the idempotency keys; its keeper sets
+            name the hosts that keep a key.
         quarantine: Requests known to crash targets.
-        targets: The targets beside, which send their calls here.
+        targets: The targets on this host, which send their calls here.
         rng: Draws versions, targets and ids.
     """
 
@@ -123,7 +123,7 @@
     # Configuration and fleet
 
     def put_in_force(self, table: routing.RouteTable) -> None:
-        """Route by a new configuration from now on, in one step."""
+        """Switch to a new configuration in one step."""
         self.placement.put_in_force(table)
         names = {route.name for route in table.routes}
         self.patience.keep_only(names)
@@ -133,16 +133,16 @@
     def records_changed(
         self, records: record_store.Records, now_ms: int
     ) -> None:
-        """Take in the hosts' records."""
+        """Update endpoints and keeper sets from the hosts' records."""
         self.placement.records_changed(records, now_ms)
         self.ledger.sets.update(self.placement.endpoints.hosts_of, now_ms)
 
-    # A call's life
+    # Life cycle of a call
 
     def start(
         self, call: calls.Call, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Take a caller's request."""
+        """Start a caller's request."""
         if self.placement.table is None and not self.draining:
             if self.pending.hold(call, now_ms):
                 return []
@@ -175,7 +175,7 @@
         return self._flush()
 
     def _add_to_budget(self, live: live_calls.LiveCall) -> None:
-        """Settle how likely a request is a repeat's call, and book it."""
+        """Estimate if a request is a repeat's call, and account for it."""
         if live.call.retried:
             live.repeat = 1.0
         else:
@@ -184,7 +184,7 @@
         self.accounts.deposit(live)
 
     def start_pending(self, now_ms: int, now_us: int) -> list[typing.Any]:
-        """Take the requests that came before there was a configuration."""
+        """Start the calls that were buffered before a configuration."""
         released = []
         for call in self.pending.release(now_ms):
             released.extend(self.start(call, now_ms, now_us))
@@ -192,7 +192,7 @@
 
     def _route_or_refuse(self, call: calls.Call) -> messages.Route | None:
         if self.draining:
-            self._refuse(call, 503, "this proxy is leaving")
+            self._refuse(call, 503, "this proxy is shutting down")
             return None
         if self.placement.table is None:
             self._refuse(call, 503, "no configuration is in force yet")
@@ -237,7 +237,7 @@
     def on_claim_reply(
         self, reply: messages.ClaimReply, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Take a keeper's reply."""
+        """Handle the reply of a host that keeps an idempotency key."""
         self._apply_claim_results(self.claims.hear(reply), now_ms, now_us)
         return self._flush()
 
@@ -260,7 +260,7 @@
     def _attempt(
         self, live: live_calls.LiveCall, now_ms: int, now_us: int
     ) -> None:
-        """Send a call to a target, or answer that none can take it."""
+        """Send a call to a target, or refuse it if none can take it."""
         endpoint = self.placement.place(live, now_ms)
         if endpoint is None:
             self.accounts.refund(live)
@@ -315,11 +315,11 @@
         )
 
     def on_body_pull(self, pull: messages.BodyPull) -> list[typing.Any]:
-        """Send a piece of a body to the target's proxy that asks for it."""
+        """Send a chunk of a body to the target's proxy that pulls it."""
         live = self.live.get(self.by_request.get(pull.request_id, -1))
         attempt = live.attempt_of(pull.request_id) if live else None
         if attempt is None:
-            # The request was given up; the cancellation is on its way.
+            # The request was cancelled; the target's proxy will be notified.
             return []
         end = pull.offset + pull.length
         piece = messages.BodyPiece(
@@ -333,10 +333,10 @@
     def on_answer(
         self, answer: messages.Answer, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Take an answer; one that is late or unknown is dropped.
+        """Handle an answer; one that is late or unknown is dropped.
 
-        Each attempt has its own id, so an answer that crossed with a retry
-        or came after the deadline can't be given to another call.
+        Each attempt has its own id, so an answer that arrives after a retry
+        or after the deadline can't be matched to another call.
         """
         live = self._take_attempt(answer.request_id)
         if live is None:
@@ -407,7 +407,7 @@
         now_ms: int,
         now_us: int,
     ) -> None:
-        """Go elsewhere: the target's proxy says that it did not run."""
+        """Try another target: the request did not run at this one."""
         load = -1 if answer.load is None else answer.load
         wait_ms = 0 if answer.full else answer.retry_after_ms
         if answer.shed:
@@ -435,13 +435,17 @@
         self._observe_failure(live, now_ms, now_us)
         live.may_have_run = True
         live.crashes += 1
-        # A request that ran alone in the crash is the likely cause: sending
-        # it on would take a second target down.
+        # If it was the only request that ran, it probably caused the crash and
+        # would crash a second target.
         repeatable = live.may_repeat and not answer.sole and live.crashes < 2
         if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
-            self._finish_lost(live, 502, "the target broke off")
+            self._finish_lost(
+                live,
+                502,
+                "the target broke the connection off before its answer",
+            )
 
     def _on_unusable(
         self,
@@ -450,7 +454,7 @@
         now_ms: int,
         now_us: int,
     ) -> None:
-        """Ask again where that is safe: what came can't be passed on."""
+        """Retry where that is safe: the answer can't be passed on."""
         latency_us = now_us - live.sent_us
         self.placement.note_answered(live, answer, latency_us, now_ms)
         self._observe_failure(live, now_ms, now_us)
@@ -459,12 +463,14 @@
         if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
-            self._finish_lost(live, 502, answer.reason or "no whole answer")
+            self._finish_lost(
+                live, 502, answer.reason or "the target's answer is incomplete"
+            )
 
     def on_unsent(
         self, request_id: int, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Note a request that never left this process: it did not run."""
+        """Handle a request that was not sent, and thus did not run."""
         live = self._take_attempt(request_id)
         unsent = messages.Answer(request_id=request_id, ran=False)
         if live is not None and self._await_other_attempt(
@@ -483,7 +489,7 @@
     def on_lost(
         self, request_id: int, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Note that the link broke with a request on it: fate unknown."""
+        """Handle a lost link: it is unknown whether the request ran."""
         live = self._take_attempt(request_id)
         lost = messages.Answer(request_id=request_id, ran=True)
         if live is not None and self._await_other_attempt(live, lost, now_ms):
@@ -495,16 +501,18 @@
             if repeatable and self._may_retry(live, budget.Cause.LOST, now_ms):
                 self._attempt(live, now_ms, now_us)
             else:
-                self._finish_lost(live, 502, "the target's host is lost")
+                self._finish_lost(
+                    live, 502, "the connection to the target's host was lost"
+                )
         return self._flush()
 
     def set_unresponsive(
         self, host: str, unresponsive: bool, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Note a host whose proxy does not answer, or answers again.
+        """Record that a host's proxy is unresponsive, or responds again.
 
-        Its targets get nothing new for as long, and what may be repeated is
-        asked for at another target beside.
+        While it is unresponsive its targets get no new requests, and requests
+        that may be repeated are hedged at another target.
         """
         self.balancer.set_unresponsive(host, unresponsive)
         if unresponsive:
@@ -529,15 +537,15 @@
     def _hedge(
         self, live: live_calls.LiveCall, now_ms: int, now_us: int
     ) -> None:
-        """Ask a second target beside the first, which goes on."""
+        """Send a call to a second target while the first one continues."""
         endpoint = self.placement.choose(
             live, live.tried | live.full_targets, now_ms
         )
         if endpoint is None or not self.balancer.has_free_slots(
             endpoint, now_ms
         ):
-            # Where all are full, requests are slow since they wait; asked
-            # for twice they would all wait longer.
+            # Where all targets are full, requests are slow because they
+            # queue. Sending them twice would lengthen all queues.
             return
         if not self.accounts.withdraw(live.service, budget.Cause.HEDGED):
             return
@@ -570,14 +578,15 @@
             return False
         usual_us = self.placement.usual_us(live.route)
         bound_us = max(usual_us * HEDGE_FACTOR, MIN_HEDGE_WAIT_US)
-        # An answer that waits for a link would only wait for one more.
+        # A hedge can't help an answer that waits for a link; its own answer
+        # would queue for a link as well.
         bound_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
         return usual_us > 0 and now_us - live.sent_us >= bound_us
 
     def _await_other_attempt(
         self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
     ) -> bool:
-        """Wait for the other attempt; False if there is none."""
+        """Continue with the other attempt; return False without one."""
         if live.hedge is None:
             return False
         key = live.endpoint.key
@@ -594,10 +603,10 @@
         return True
 
     def on_repeat_arrived(self, request_id: int) -> None:
-        """Note that a repeat is at its target.
+        """Record that a repeat reached its target.
 
-        While another attempt is on its way as well, that one counts: if it
-        comes later, it is the repeat.
+        While another attempt is still in flight, the budget waits for that
+        one: if it arrives later, it is the repeat.
         """
         live = self.live.get(self.by_request.get(request_id, -1))
         if live is not None and live.request_id == request_id:
@@ -609,9 +618,9 @@
     ) -> bool:
         """Tell whether a call that was refused may go to another target.
 
-        A refusal by the target's proxy reached no target, so it neither
-        feeds a storm nor counts as an attempt. One by the target itself
-        took its time and is a retry like others.
+        A request that the target's proxy refused did not reach the target.
+        It adds no load there and does not count as an attempt. A refusal by
+        the target itself used its time, so going on is an ordinary retry.
         """
         if answer.shed:
             return self._may_retry(live, budget.Cause.REFUSED, now_ms)
@@ -624,8 +633,8 @@
         self, live: live_calls.LiveCall, cause: budget.Cause, now_ms: int
     ) -> bool:
         if live.call.retried or live.attempts >= live.route.max_attempts:
-            # A proxy nearer to the caller retries this chain already;
-            # retrying here too would multiply with each level.
+            # A proxy closer to the caller already retries this call chain.
+            # Retries at several levels would multiply.
             return False
         if now_ms >= live.deadline_at_ms:
             return False
@@ -669,10 +678,10 @@
         waited_us = now_us - live.sent_us
         self._observe(live, waited_us, waited_us, True, now_ms)
 
-    # Endings
+    # Final answers
 
     def cancel(self, call_id: int, now_ms: int) -> list[typing.Any]:
-        """Note that the caller went away."""
+        """Drop a call whose caller disconnected."""
         self.pending.drop(call_id)
         live = self.live.get(call_id)
         if live is not None:
@@ -683,7 +692,7 @@
         return self._flush()
 
     def tick(self, now_ms: int, now_us: int) -> list[typing.Any]:
-        """End the calls whose deadline has come."""
+        """Hedge slow calls, and end those whose deadline has passed."""
         for call in self.pending.expired(now_ms):
             self._refuse(call, 503, "no configuration is in force yet")
         self._apply_claim_results(self.claims.tick(now_ms), now_ms, now_us)
@@ -705,7 +714,7 @@
         return self._flush()
 
     def _abandon(self, live: live_calls.LiveCall) -> None:
-        """Tell the target's proxy to stop; give an unused claim back."""
+        """Cancel the request at the target's proxy, or drop the claim."""
         if live.request_id in self.by_request:
             self._tell_cancel(live.request_id, live.endpoint)
         else:
@@ -723,14 +732,16 @@
 
     def _finish_quarantined(self, live: live_calls.LiveCall) -> None:
         self._not_run(
-            live, 422, "this request crashed the targets that ran it"
+            live,
+            422,
+            "quarantined: this request crashed the targets that ran it",
         )
 
     def _finish_no_target(self, live: live_calls.LiveCall) -> None:
         wait_ms = live.retry_after_ms or NO_TARGET_RETRY_AFTER_MS
-        reason = "no target can take it in time"
+        reason = "no target can run the request in time"
         if live.may_have_run:
-            # 503 says that it did not run; an earlier attempt may have.
+            # 503 states that it did not run, but an earlier attempt may have.
             self._finish_lost(live, 502, reason, wait_ms)
             return
         self._not_run(live, 503, reason, wait_ms)
@@ -784,7 +795,7 @@
                 calls.Final(
                     result.call_id,
                     409,
-                    "the key was used before; its answer is not known here",
+                    "the key was used before; its answer is not available",
                     ran=True,
                 ),
             )
@@ -804,7 +815,7 @@
             calls.Final(
                 call_id,
                 503,
-                "not run now; it can't be known whether the key ran before",
+                "not run; it is unknown whether the key was used before",
                 retry_after_ms=RETRY_AFTER_MS,
             ),
         )
@@ -827,7 +838,7 @@
         self.accounts.end(live)
 
     def _note_own(self, live: live_calls.LiveCall, final: calls.Final) -> None:
-        """Log an answer that no target gave, with what led to it."""
+        """Log a final answer that this proxy generated itself."""
         event = "request.lost" if final.ran else "request.refused"
         endpoint = live.endpoint
         self._note(
@@ -870,5 +881,5 @@
 
 
 def _repeat_permille(live: live_calls.LiveCall) -> int:
-    """Return how likely an attempt is a repeat at its target."""
+    """Return the probability that an attempt is a repeat, in permille."""
     return int(1000 * (1.0 if live.paid else live.repeat))
--- a/libs/requests/src/trefoil_requests/live.py
+++ b/libs/requests/src/trefoil_requests/live.py
@@ -1,4 +1,4 @@
-"""A call on its way: what was tried for it, and what may still be."""
+"""The state of a call until its final answer, with its attempts."""
 
 import dataclasses
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """A request on its way to a target.
+    """A request in flight to a target.
 
     Args:
-        request_id: This proxy's number for it.
+        request_id: Its id at this proxy.
         endpoint: The target.
         version: The target's version.
         sent_us: When it was sent, on the runtime's clock.
-        paid: Whether the retry budget paid for it.
+        paid: Whether it was charged to the retry budget.
     """
 
     request_id: int
@@ -29,35 +29,36 @@
 
 @dataclasses.dataclass(slots=True)
 class LiveCall:
-    """A call without its final answer yet.
+    """A call that has no final answer yet.
 
     Args:
         call: The caller's request.
-        route: The route that took it.
-        fingerprint: Hash by which a resend is known.
-        started_us: When it came.
-        deadline_at_ms: When nobody waits for it any more.
-        aim_at_ms: When its answer is late for its route's aim.
-        claim: The claim on its key, for once-only requests with one.
+        route: The route that it matched.
+        fingerprint: Hash that identifies resends of the same request.
+        started_us: When it arrived.
+        deadline_at_ms: When its caller stops waiting for it.
+        aim_at_ms: When its answer misses its route's latency target.
+        claim: The claim on its idempotency key, for once-only requests.
         service: The service that was drawn for it.
-        drawn: The version that was drawn for it.
+        drawn_version: The version that was drawn for it.
         version: Version of the target that it was sent to last.
         endpoint: That target.
-        request_id: Number of the attempt that counts; 0 without one.
-        first_id: Number of the first attempt.
-        sent_us: When the attempt that counts was sent.
-        paid: Whether the retry budget paid for it.
-        repeat: How likely it is a call of a run that was a repeat.
-        attempts: Targets that may have run it, the present one among them.
-        sends: Attempts and refusals by targets' proxies together.
-        settled: Whether it may wait in a target's queue.
-        crashes: Targets that broke down under it.
-        may_have_run: Whether an attempt ended without a word on whether it
-            ran.
-        retry_after_ms: The longest wait that a refusal told.
-        hedge: The other of two attempts at the same time.
-        tried: Targets that are left out from now on.
-        bounced: Targets that were full.
+        request_id: Id of the current attempt; 0 without one.
+        first_request_id: Id of the first attempt.
+        sent_us: When the current attempt was sent.
+        paid: Whether the current attempt was charged to the retry budget.
+        repeat: Probability that it was sent by a run that was a repeat.
+        attempts: Number of targets that may have run it, including the
+            current one.
+        sends: Number of attempts and of refusals by targets' proxies.
+        may_queue: Whether it may wait in a target's queue.
+        crashes: Number of targets that crashed while running it.
+        may_have_run: Whether an attempt ended without it being known whether
+            it ran.
+        retry_after_ms: The longest wait that a refusal asked for.
+        hedge: The other of two parallel attempts.
+        tried: Keys of targets that it is not sent to again.
+        full_targets: Keys of targets that rejected it because they were full.
     """
 
     call: calls.Call
@@ -88,12 +89,12 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether it may be asked for again after it may have run."""
+        """Tell whether it may be sent again after it may have run."""
         return self.route.repeat != messages.Repeat.ONCE
 
     @property
     def attempt(self) -> Attempt:
-        """Return the attempt that counts."""
+        """Return the current attempt."""
         return Attempt(
             self.request_id,
             self.endpoint,
@@ -103,7 +104,7 @@
         )
 
     def attempt_of(self, request_id: int) -> Attempt | None:
-        """Return the one of its attempts that has a number."""
+        """Return the attempt with a request id, None without one."""
         if self.request_id == request_id:
             return self.attempt
         if self.hedge is not None and self.hedge.request_id == request_id:
@@ -111,7 +112,7 @@
         return None
 
     def swap_attempts(self) -> None:
-        """Make the other of two attempts the one that counts."""
+        """Make the other of two parallel attempts the current one."""
         other, self.hedge = self.hedge, self.attempt
         self.request_id = other.request_id
         self.endpoint = other.endpoint
