--- a/libs/requests/src/trefoil_requests/attribution.py
+++ b/libs/requests/src/trefoil_requests/attribution.py
@@ -1,11 +1,11 @@
-"""Which requests are calls of targets, and which of those repeat.
-
-A run that is itself a repeat makes its calls once more, and they count as
-repeats at the services that are called. Nothing in a call names its parent,
-nor does it tell a call from a caller's request. Two proxies know enough
-together: the one before the called target sees on which routes only the
-hosts of a service send, and the one beside the calling target knows what
-runs there.
+"""Estimates which requests are targets' calls, and which of those repeat.
+
+A run that is itself a repeat makes its calls once more, and these count as
+repeats at the services that are called. A call does not name its parent
+request, and nothing distinguishes it from a caller's request. Two proxies
+together know enough for an estimate: the called target's proxy sees on which
+routes only the hosts of one service send, and the calling target's proxy knows
+what runs on its host.
 """
 
 import collections
@@ -13,24 +13,26 @@
 import dataclasses
 import typing
 
-# Below, chance alone makes a route look like one that targets call.
+# Below this share, random variation alone makes a route look as if targets
+# called it.
 MIN_CALL_SHARE = 0.25
-# Counts are halved here: some ten seconds at a busy target.
+# Counts are halved above this sum, which a busy target reaches in about ten
+# seconds.
 MAX_COUNTED = 512
-# A route's calls are known within some fifty of its runs.
+# The number of calls per run is learned within about fifty runs.
 CALLS_WEIGHT = 0.02
 DEFAULT_CALLS = 1.0
-# Some ten targets' answers.
+# Averages over about ten answers.
 REPORT_WEIGHT = 0.1
 MIN_PERMILLE = -1000
 
 
 class Origins:
-    """Who sends a target's requests, by route and what is beside them.
+    """Counts a target's requests by route and by the sender's services.
 
-    Callers come to all hosts alike, calls only to the hosts whose targets
-    make them. The difference, a host, is the part of a route's requests that
-    are calls.
+    Callers send to all hosts alike, while targets' calls enter only at the
+    hosts of those targets. The difference in requests per host gives the
+    share of a route's requests that are calls.
     """
 
     __slots__ = ("hosts", "counts")
@@ -40,11 +42,11 @@
         self.counts: dict[str, dict[str, float]] = {}
 
     def note(self, route: str, services: str) -> None:
-        """Note a request.
+        """Count a request.
 
         Args:
             route: Its route.
-            services: Key of the services beside its entry proxy.
+            services: Key of the services on its entry proxy's host.
         """
         counts = self.counts.setdefault(route, {})
         counts[services] = counts.get(services, 0.0) + 1
@@ -53,23 +55,24 @@
                 counts[name] /= 2
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
-        """Forget the routes that are gone."""
+        """Drop the routes that were removed."""
         _keep_only(self.counts, routes)
 
     def call_share(self, route: str, services: str) -> float:
-        """Return which part of such requests the targets beside send.
+        """Return the share of such requests that local targets send.
 
-        Before any came, all of them: a call that is taken for a caller's
-        request is paid by nobody. Where all hosts have the same services
-        beside them nothing tells calls apart, and none is taken for one.
+        Before the first request the share is 1, since a call that is taken
+        for a caller's request would not be charged to any budget. Where all
+        hosts run the same services, calls can't be distinguished and the
+        share is 0.
 
         Args:
             route: The requests' route.
-            services: Key of the services beside their entry proxies.
+            services: Key of the services on their entry proxies' hosts.
 
         Returns:
-            The part; less than none where the other hosts send more, which
-            makes up for targets to which they send less.
+            The share. It is negative where the other hosts send more, which
+            offsets targets to which they send less.
         """
         counts = self.counts.get(route, {})
         same = self.hosts.get(services, 0)
@@ -93,11 +96,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Parents:
-    """What runs on a host's targets, as the parents of their calls.
+    """Attributes calls to the requests that run on a host's targets.
 
     Args:
-        calls_of: Calls that a run of a route makes, learned by sharing each
-            call out over the runs that may have made it.
+        calls_of: Calls per run by route, learned by dividing each call among
+            the runs that may have made it.
     """
 
     calls_of: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -105,11 +108,11 @@
     def repeat_share(
         self, runs: collections.abc.Collection[Run], share: float
     ) -> float:
-        """Return how likely a request that comes now is a repeat's call.
+        """Return the probability that a new request is a repeat's call.
 
         Args:
-            runs: What runs now.
-            part: How likely it is a call at all.
+            runs: The requests that run now.
+            share: Probability that the new request is a call at all.
         """
         weights = [self.calls_of.get(r.route, DEFAULT_CALLS) for r in runs]
         total = sum(weights)
@@ -122,32 +125,36 @@
         return share * repeats / total
 
     def ended(self, run: Run) -> None:
-        """Learn from a run that ended how many calls its route makes."""
+        """Update the calls per run of a route with a run that ended."""
         known = self.calls_of.get(run.route, DEFAULT_CALLS)
         known += CALLS_WEIGHT * (run.calls - known)
         self.calls_of[run.route] = known
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
-        """Forget the routes that are gone."""
+        """Drop the routes that were removed."""
         _keep_only(self.calls_of, routes)
 
 
 @dataclasses.dataclass(slots=True)
 class CallShares:
-    """What the called targets' proxies tell: the part of calls, by route."""
+    """The share of calls by route, as reported by called targets' proxies."""
 
     shares: dict[str, float] = dataclasses.field(default_factory=dict)
 
     def share(self, route: str) -> float:
-        """Return which part of a route's requests here are calls."""
+        """Return the share of a route's requests here that are calls."""
         share = self.shares.get(route, 1.0)
         return share if share >= MIN_CALL_SHARE else 0.0
 
     def add_report(self, route: str, permille: int | None) -> None:
-        """Take what an answer tells.
+        """Average in the share that an answer reports.
 
-        A proxy prefers some targets, its own host's among them, so that each
-        target sees the hosts in other parts; on the mean these even out.
+        Each proxy prefers some targets, such as those on its own host, so each
+        target sees another mix of hosts. The mean over targets evens this out.
+
+        Args:
+            route: The answered request's route.
+            permille: The reported share in permille, None without a report.
         """
         if permille is None or permille < MIN_PERMILLE:
             return
@@ -156,19 +163,19 @@
         self.shares[route] = known + REPORT_WEIGHT * (share - known)
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
-        """Forget the routes that are gone."""
+        """Drop the routes that were removed."""
         _keep_only(self.shares, routes)
 
 
 def services_key(services: collections.abc.Iterable[str]) -> str:
-    """Return what names the services beside a proxy, for any order."""
+    """Return a key for a host's set of services, in any order."""
     return ",".join(sorted(set(services)))
 
 
 def hosts_by_services(
     services_of: collections.abc.Iterable[collections.abc.Iterable[str]],
 ) -> dict[str, int]:
-    """Return how many hosts have the same services, by their key."""
+    """Return the number of hosts with the same services, by their key."""
     return dict(
         collections.Counter(services_key(services) for services in services_of)
     )
--- a/libs/requests/src/trefoil_requests/budget.py
+++ b/libs/requests/src/trefoil_requests/budget.py
@@ -3,13 +3,13 @@
 import enum
 
 DEFAULT_RESERVE = 10.0
-# Whose run a call belongs to is known by its odds only. A tenth more than
-# the odds covers the luck of a few hundred calls.
+# Whether a call belongs to a repeated run is known only as a probability.
+# Charging a tenth more covers the random variation of a few hundred calls.
 CALL_PRICE = 1.1
 
 
 class Cause(enum.StrEnum):
-    """Why a target sees a request more than once."""
+    """Why a target receives a request more than once."""
 
     REFUSED = "refused"
     BROKEN = "broken"
@@ -19,21 +19,21 @@
 
 
 class RetryBudget:
-    """Lets repeats be a bounded share of a service's requests.
+    """Limits repeats to a bounded share of a service's requests.
 
-    Repeats add load when targets are slowest. Without a bound, a service
-    that sheds a little gets up to twice the load and sheds more, and each
-    level of a chain multiplies that.
+    Repeats add load when targets are slowest. Without a limit, a service that
+    sheds a few requests gets up to twice the load and sheds more, and each
+    level of a call chain multiplies that.
 
-    In any window, targets see at most ``reserve`` and ``ratio`` times the
-    requests of that window: a repeat that arrives was paid within it, or it
-    was under way at its begin, and then its place in the reserve was not
-    given to another. A start has saved nothing, so proxies that restart in
+    In any window, targets receive at most ``reserve`` plus ``ratio`` times the
+    requests of that window: a repeat that arrives was either paid for within
+    the window or in flight at its start, and a repeat in flight occupies its
+    part of the reserve. A new budget starts empty, so proxies that restart in
     turn don't spend their reserve twice.
 
     Args:
         ratio: Repeats allowed for each request.
-        reserve: Repeats that may be saved up or under way.
+        reserve: Limit of saved and in-flight repeats together.
     """
 
     __slots__ = (
@@ -54,17 +54,18 @@
         self.spent = dict.fromkeys(Cause, 0.0)
 
     def set_reserve(self, reserve: float) -> None:
-        """Change how many repeats may be saved up or under way."""
+        """Change the limit of saved and in-flight repeats together."""
         self.reserve = reserve
         self.tokens = min(self.tokens, reserve - self.in_flight)
 
     def deposit(self, repeat: float = 0.0) -> None:
-        """Note a request that came.
+        """Add the share of a repeat that an arriving request earns.
 
         Args:
-            repeat: How likely it is a call of a run that was a repeat. Such
-                a call earns nothing, and can't be refused for want of
-                budget: its parent, which was paid for, would fail.
+            repeat: Probability that it was sent by a run that was a repeat.
+                Such a call earns nothing and is charged even if the budget is
+                empty: refusing it would make its parent fail, which was
+                already paid for.
         """
         self.requests += 1
         room = self.reserve - self.in_flight - self.tokens
@@ -73,9 +74,9 @@
         self.spent[Cause.CALLED] += repeat
 
     def withdraw(self, cause: Cause) -> bool:
-        """Take a repeat; return whether there was one left.
+        """Pay for a repeat; return False if the budget is too low.
 
-        It counts as under way until ``arrived`` is called for it.
+        The repeat counts as in flight until ``arrived`` is called for it.
         """
         if self.tokens < 1:
             return False
@@ -85,11 +86,12 @@
         return True
 
     def arrived(self) -> None:
-        """Note that a repeat has reached its target, or never will."""
-        # A service that left the configuration and came back has a new one.
+        """Record that a repeat reached its target or was dropped."""
+        # A service that was removed from the configuration and added again
+        # has a new budget, which does not know the repeat.
         self.in_flight = max(self.in_flight - 1, 0)
 
     def refund(self) -> None:
-        """Return a repeat for which there was no target."""
+        """Refund a repeat for which no target was found."""
         self.tokens += 1
         self.arrived()
--- a/libs/requests/src/trefoil_requests/spending.py
+++ b/libs/requests/src/trefoil_requests/spending.py
@@ -1,4 +1,4 @@
-"""Lines that tell what a proxy's retry budgets were spent on."""
+"""Log lines that report what a proxy's retry budgets were spent on."""
 
 from trefoil_model import effects as common
 
@@ -8,10 +8,10 @@
 
 
 class SpendingLog:
-    """Tells each second what was spent, by service and cause.
+    """Reports each second what was spent, by service and cause.
 
-    Repeats are bounded over all hosts, and no host sees the sum. These lines
-    add up to it, for any window and service.
+    Repeats are bounded over all hosts, but no host knows the sum. It is the
+    sum of these lines, for any window and service.
     """
 
     __slots__ = ("reported", "next_report_ms")
@@ -23,7 +23,7 @@
     def tell(
         self, budgets: dict[str, budget.RetryBudget], now_ms: int
     ) -> list[common.Note]:
-        """Return a line for each service that got repeats since the last."""
+        """Return a line per service with repeats since the last report."""
         if now_ms < self.next_report_ms:
             return []
         self.next_report_ms = now_ms + REPORT_INTERVAL_MS
