--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -1,8 +1,8 @@
 """The balancer: which target of a version gets a request.
 
-It goes by what this proxy sees itself (requests running, latency, refusals);
-announced slots scale it; health and load pages are not asked, since they lag
-or mislead.
+It scores targets by what this proxy observes (requests in flight, latency,
+refusals), scaled by their announced slots. It does not query health or load
+pages, since these lag or mislead.
 """
 
 import collections.abc
@@ -15,67 +15,71 @@
 from . import routing
 
 LATENCY_WEIGHT = 0.12
-# Before anything was seen; only its relation to the far penalty counts.
+# Used before any measurement. Only its ratio to the cross-domain penalty
+# matters.
 DEFAULT_LATENCY_US = 20_000.0
-# A target not seen yet is thought a little better than the best, so that it
-# is tried; what runs there already holds the others back.
+# A target without measurements is assumed to be slightly faster than the best
+# one, so that it gets tried. Its load then limits how many requests follow.
 UNSEEN_FACTOR = 0.8
-# A hop to another failure domain and back.
+# Round trip to another failure domain.
 CROSS_DOMAIN_US = 3000.0
-# A way there and back on idle links, and what milliseconds round off.
+# Round trip on idle links, plus the rounding error of times in milliseconds.
 IDLE_TRANSIT_US = 4000
 CROSS_DOMAIN_SHARE = 0.1
-# Targets slow down as they fill.
+# Targets slow down as their slots fill.
 FULL_LOAD_SLOWDOWN = 0.3
-# What a target told of its load says little after this.
+# A reported load loses its weight over this time.
 LOAD_REPORT_TTL_MS = 2000
-# Ten answers decide: what fails half of its answers is avoided within a
-# second at ten requests a second, and found again as it recovers.
+# About ten answers decide. At ten requests per second, a target that fails
+# half of its answers is avoided within a second and used again once it
+# recovers.
 FAILURE_WEIGHT = 0.15
 MIN_SUCCESS_RATE = 0.1
-# A failing target gets too few requests to show that it works again; what
-# was seen of it fades within seconds.
+# A failing target gets too few requests to show its recovery, so its measured
+# failure rate decays within seconds.
 FAILURE_DECAY_MS = 3000
-# An answer's word on its target's usual time is newer than the record's for
-# about as long as the record's takes to be told anew.
+# The usual run time reported in an answer is newer than the one in the host's
+# record for about as long as the record takes to be announced again.
 PACE_REPORT_TTL_MS = 2000
 MAX_COMPARED = 12
-# Far targets are compared for the case that the near ones are full or slow;
-# the more near ones are looked at, the less goes between failure domains.
+# Cross-domain targets are compared in case the local ones are full or slow.
+# The more local ones are compared, the less traffic crosses domains.
 MAX_LOCAL_COMPARED = 9
-# A quarter of the slots is left for requests that were not sent before.
+# Hedged requests leave a quarter of the slots to first attempts.
 FREE_SLOTS_LOAD = 0.75
 JITTER = 0.05
 REFUSED_PAUSE_MS = 50
 LOST_PAUSE_MS = 1000
 MAX_LOST_PAUSE_MS = 10_000
 LOSSES_BEFORE_PAUSE = 3
-# Where the caller's aim is not told, the soonest answer is the best.
+# Without a latency target, the earliest answer is the best.
 NO_URGENCY = crossing.Hurry(1_000_000, 1_000_000)
 SLOW_START_MS = 5000
 MIN_START_SPEED = 0.1
-# Targets that tell of their warm-up take about twice as long in it.
+# Targets that announce their warm-up take about twice as long while cold.
 COLD_SPEED = 0.5
 
 
 @dataclasses.dataclass(slots=True)
 class TargetStats:
-    """What this proxy has seen of a target.
+    """What this proxy has measured or been told about a target.
 
     Args:
-        running: Requests of this proxy that wait for its answer.
+        running: Requests of this proxy that are in flight to it.
         latency_us: Its usual time for an average request; 0 if unknown.
-        avoid_until_ms: Until when it gets nothing.
-        losses: Answers in a row that never came.
-        others: Requests of other proxies there, when it last told.
-        told_ms: When that was.
-        failing: Part of its latest answers that failed, 0 to 1.
-        failed_ms: When one last did.
-        paced_ms: When its own proxy last told its usual time in an answer.
-        bodies_until_ms: Until when its host's link is taken by large bodies.
-        link_wait_us: How long its latest answer and its request waited for
-            the links on their way.
-        link_told_ms: When that answer came.
+        avoid_until_ms: Time until which it gets no requests.
+        consecutive_losses: Answers in a row that did not arrive.
+        other_load: Requests of other proxies there, as last reported.
+        load_reported_ms: When its load was last reported.
+        failure_rate: Share of its recent answers that failed, 0 to 1.
+        last_failure_ms: When an answer of it last failed.
+        pace_reported_ms: When its own proxy last reported its usual run time
+            in an answer.
+        bodies_busy_until_ms: Time until which large bodies occupy its host's
+            link.
+        link_wait_us: How long its latest answer and the request for it waited
+            for links on the path.
+        link_reported_ms: When that answer arrived.
     """
 
     running: int = 0
@@ -93,10 +97,11 @@
 
 
 class Balancer:
-    """Choice among the targets of a version.
+    """Chooses among the targets of a version.
 
     Args:
-        domain: This proxy's failure domain, preferred while it can serve.
+        domain: This proxy's failure domain. Its targets are preferred while
+            they can serve.
         rng: Draws the candidates that are compared.
         host: This proxy's host.
     """
@@ -125,21 +130,21 @@
     ) -> routing.Endpoint | None:
         """Return the target for a request, None if none can take it.
 
-        The one that loses its caller least: among near ones the one that is
-        expected to answer first. Proxies hear of a target's load with each
-        answer, so that they neither pile up on the fastest nor keep to a
-        near one that is full.
+        Picks the target with the smallest expected loss for the caller;
+        within one failure domain that is the one expected to answer first.
+        Each answer reports its target's load, so proxies neither all send to
+        the fastest target nor stay with a local one that is full.
 
         Args:
             endpoints: The targets to choose among.
             first_seen_ms: When each was first seen.
-            tried: Targets that are left out.
+            tried: Keys of targets to leave out.
             now_ms: The time on the runtime's clock.
-            hurry: How long the call can wait, and what it costs to send it
+            urgency: How long the call can wait, and what it costs to send it
                 to another failure domain.
-            away_us: How much sooner a target of another host must answer to
-                be worth the bytes between them.
-            large: Whether the call's body waits for its turn on the link of
+            remote_penalty_us: How much earlier a target on another host must
+                answer to be worth the bytes sent between the hosts.
+            large: Whether the call's body has to queue for the link of
                 another host.
         """
         candidates = [
@@ -178,12 +183,12 @@
     def note_links(
         self, key: str, *, body_wait_ms: int, transit_us: int, now_ms: int
     ) -> None:
-        """Note what an answer tells of the links to a target.
+        """Record what an answer shows about the links to a target.
 
         Args:
-            key: The target.
+            key: The target's key.
             body_wait_ms: How long large bodies wait for its host's link.
-            way_us: How long the answer and its request were on the way.
+            transit_us: How long the answer and its request were in transit.
             now_ms: The time on the runtime's clock.
         """
         stats = self.target_stats(key)
@@ -192,18 +197,18 @@
         stats.link_reported_ms = now_ms
 
     def link_wait_us(self, key: str, now_ms: int) -> float:
-        """Return how long a call to a target waits for links on its way.
+        """Return how long a call to a target waits for links on its path.
 
-        A target whose answers fill the link of its host has free slots and
-        works fast. By these alone it would get more and more calls, and its
-        answers would wait for each other.
+        A target whose answers fill the link of its host still has free slots
+        and short run times. Judged by these alone it would get more and more
+        calls, and its answers would queue behind each other.
         """
         stats = self.target_stats(key)
         age_ms = min(now_ms - stats.link_reported_ms, LOAD_REPORT_TTL_MS)
         return stats.link_wait_us * (1 - age_ms / LOAD_REPORT_TTL_MS)
 
     def set_unresponsive(self, host: str, unresponsive: bool) -> None:
-        """Leave the targets of a host out, or take them in again."""
+        """Exclude the targets of an unresponsive host, or readmit them."""
         if unresponsive:
             self.unresponsive.add(host)
         else:
@@ -212,7 +217,7 @@
     def _sample(
         self, candidates: list[routing.Endpoint]
     ) -> list[routing.Endpoint]:
-        """Return the near targets and a few others, to bound the work."""
+        """Return a sample of local and remote targets, to bound the work."""
         local = [e for e in candidates if e.domain == self.domain]
         local = self.rng.sample(local, min(len(local), MAX_LOCAL_COMPARED))
         remote = [e for e in candidates if e.domain != self.domain]
@@ -222,7 +227,7 @@
     def _unseen_latency_us(
         self, candidates: list[routing.Endpoint], now_ms: int
     ) -> float:
-        """Return the latency to expect of a target not seen yet."""
+        """Return the latency to assume for a target without measurements."""
         known = [
             self._latency_us(e, self.target_stats(e.key), now_ms)
             for e in candidates
@@ -231,15 +236,15 @@
         return min(known) * UNSEEN_FACTOR if known else DEFAULT_LATENCY_US
 
     def has_free_slots(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
-        """Tell whether a target is thought to have slots to spare."""
+        """Tell whether a target is estimated to have enough free slots."""
         return self._load(endpoint, now_ms) < FREE_SLOTS_LOAD
 
     def is_full(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
-        """Tell whether all slots of a target are thought to be taken."""
+        """Tell whether all slots of a target are estimated to be in use."""
         return self._load(endpoint, now_ms) >= 1.0
 
     def _load(self, endpoint: routing.Endpoint, now_ms: int) -> float:
-        """Return the part of a target's slots that is in use or wanted."""
+        """Return the estimated requests at a target, per slot."""
         stats = self.target_stats(endpoint.key)
         slots = max(endpoint.target.slots, 1)
         age_ms = min(now_ms - stats.load_reported_ms, LOAD_REPORT_TTL_MS)
@@ -247,14 +252,14 @@
         return (stats.running + other_load) / slots
 
     def target_stats(self, key: str) -> TargetStats:
-        """Return what was seen of a target."""
+        """Return the statistics of a target, created on first use."""
         stats = self.stats.get(key)
         if stats is None:
             stats = self.stats[key] = TargetStats()
         return stats
 
     def started(self, key: str) -> None:
-        """Note a request on its way to a target."""
+        """Record that a request was sent to a target."""
         self.target_stats(key).running += 1
 
     def answered(
@@ -265,15 +270,15 @@
         now_ms: int = 0,
         usual_us: int = 0,
     ) -> None:
-        """Note an answer.
+        """Record an answer.
 
         Args:
-            key: The target.
-            latency_us: Its time, as if for an average request.
-            load: Requests that run or wait there, -1 if not told.
+            key: The target's key.
+            latency_us: Its latency, scaled to an average request.
+            load: Requests that run or wait there, -1 if not reported.
             now_ms: The time on the runtime's clock.
-            usual_us: Its usual time as its own proxy measured it, which saw
-                the requests of all proxies; 0 if not told.
+            usual_us: Its usual run time as measured by its own proxy, which
+                sees the requests of all proxies; 0 if not reported.
         """
         stats = self.target_stats(key)
         stats.running = max(stats.running - 1, 0)
@@ -292,7 +297,7 @@
     def refused(
         self, key: str, now_ms: int, retry_after_ms: int, load: int = -1
     ) -> None:
-        """Note a refusal: the target's proxy did not run the request."""
+        """Record that the target's proxy refused to run a request."""
         stats = self.target_stats(key)
         stats.running = max(stats.running - 1, 0)
         if retry_after_ms:
@@ -301,10 +306,10 @@
         self._note_load(stats, load, now_ms)
 
     def note_outcome(self, key: str, failed: bool, now_ms: int) -> None:
-        """Note whether a target did what it was asked.
+        """Record whether a target's answer was a failure.
 
-        Targets may fail part of their requests while they say that they
-        are well; only their answers show it.
+        Targets may fail some of their requests while they report themselves
+        healthy. Only their answers show it.
         """
         stats = self.target_stats(key)
         if failed:
@@ -317,7 +322,7 @@
             stats.load_reported_ms = now_ms
 
     def lost(self, key: str, now_ms: int) -> None:
-        """Note a request whose answer never came."""
+        """Record a request that was lost or broke off without an answer."""
         stats = self.target_stats(key)
         stats.running = max(stats.running - 1, 0)
         stats.consecutive_losses += 1
@@ -325,11 +330,11 @@
         stats.avoid_until_ms = now_ms + min(pause, MAX_LOST_PAUSE_MS)
 
     def timed_out(self, key: str, now_ms: int) -> None:
-        """Note a request that was given up at its deadline.
+        """Record a request that reached its deadline without an answer.
 
-        One alone says little: in an overload all targets are late, and to
-        leave them alone would take the rest of the capacity away. Some in a
-        row without an answer in between are a target that went silent.
+        One alone says little: in an overload all targets are late, and
+        avoiding them would remove the remaining capacity. Several in a row
+        without an answer in between mean that the target stopped answering.
         """
         stats = self.target_stats(key)
         stats.running = max(stats.running - 1, 0)
@@ -339,12 +344,12 @@
             stats.avoid_until_ms = now_ms + LOST_PAUSE_MS
 
     def note_cancelled(self, key: str) -> None:
-        """Note a request whose answer nobody needs any more."""
+        """Record a request whose answer is no longer needed."""
         stats = self.target_stats(key)
         stats.running = max(stats.running - 1, 0)
 
     def keep_only(self, keys: collections.abc.Container[str]) -> None:
-        """Forget the targets that are gone and have nothing running."""
+        """Drop the statistics of removed targets without open requests."""
         for key, stats in list(self.stats.items()):
             if key not in keys and not stats.running:
                 del self.stats[key]
@@ -355,7 +360,7 @@
         first_seen_ms: collections.abc.Mapping[str, int],
         now_ms: int,
     ) -> float:
-        """Return the part of its speed that a target is thought to have."""
+        """Return a target's estimated speed, 1.0 once it is warm."""
         if endpoint.target.tells_warmup:
             cold = endpoint.target.state == messages.TargetState.COLD
             return COLD_SPEED if cold else 1.0
@@ -365,10 +370,10 @@
     def _latency_us(
         self, endpoint: routing.Endpoint, stats: TargetStats, now_ms: int
     ) -> float:
-        """Return a target's usual time, 0 if nothing is known of it.
+        """Return a target's usual run time, 0 if unknown.
 
-        What its record tells is good to a third and travels within a
-        second; a recent answer knows better.
+        The value in the host's record is accurate to about a third and
+        arrives within a second. A recent answer is more accurate.
         """
         reported_us = endpoint.target.usual_us or 0
         if (
@@ -379,9 +384,10 @@
         return stats.latency_us or reported_us
 
     def _cold_wait_us(self, endpoint: routing.Endpoint, ahead: float) -> float:
-        """Return how long a call waits for a cold target's next turn.
+        """Return how long a call waits for a cold target's rate limit.
 
-        A cold target gets some requests a second, however many slots it has.
+        A cold target gets a limited number of requests per second, whatever
+        its number of slots.
         """
         cold = endpoint.target.state == messages.TargetState.COLD
         per_s = endpoint.target.cold_per_s or 0.0
@@ -404,8 +410,8 @@
         service_us = self._latency_us(endpoint, stats, now_ms) or unseen_us
         service_us /= self._speed(endpoint, first_seen_ms, now_ms)
         slowdown = 1 + FULL_LOAD_SLOWDOWN * min(load, 1.0) ** 2
-        # A request that fails has to be asked again, if it may: twice the
-        # time at one failure in three, nine times at two in three.
+        # A failed request has to be sent again where that is allowed. The
+        # factor is about two at one failure in three and nine at two in three.
         decay = (now_ms - stats.last_failure_ms) / FAILURE_DECAY_MS
         failure_rate = stats.failure_rate * max(1 - decay, 0.0)
         repeat_factor = 1 / max(1 - failure_rate, MIN_SUCCESS_RATE) ** 2
--- a/libs/requests/src/trefoil_requests/observing.py
+++ b/libs/requests/src/trefoil_requests/observing.py
@@ -1,4 +1,4 @@
-"""What an answer tells of its version, for metrics and for moves."""
+"""Observations of a version's answers, for metrics and moves."""
 
 from trefoil_wire import messages
 
@@ -17,17 +17,17 @@
     failed: bool,
     now_ms: int,
 ) -> list[effects.Observe]:
-    """Return what the attempt that counts has shown.
+    """Return the observation of the current attempt.
 
-    A call counts once: the retry of a failed one would make the other
-    version look as bad.
+    Each call is observed once, by its first attempt: counting the retry of a
+    failed call would make the other version look equally bad.
 
     Args:
-        endpoints: The targets that are known.
+        endpoints: The known targets.
         live: The call.
-        latency_us: Time from the request's departure.
+        latency_us: Time since the request was sent.
         run_us: How long the target ran it.
-        failed: Whether that counts against the version.
+        failed: Whether the answer counts against the version.
         now_ms: The time on the runtime's clock.
     """
     if live.request_id != live.first_request_id:
@@ -51,10 +51,10 @@
     now_ms: int,
     now_us: int,
 ) -> list[effects.Observe]:
-    """Return a first attempt that its hedge overtook, as slow as it was.
+    """Return the observation of a first attempt that its hedge overtook.
 
-    Left out, a version that is slow would only show the answers that came
-    in time.
+    It counts with the time that it has taken so far. Without it, a slow
+    version would be observed only by its fast answers.
     """
     other = live.hedge
     if other is None or other.request_id != live.first_request_id:
--- a/libs/requests/src/trefoil_requests/pending.py
+++ b/libs/requests/src/trefoil_requests/pending.py
@@ -1,22 +1,20 @@
-"""Calls that come before a proxy may serve by any configuration.
+"""Buffers calls that arrive before a proxy has a confirmed configuration.
 
-The load that this answers: all proxies start at the same moment, after a
-loss of power, and their callers are there already. The proof that lets a
-proxy serve comes within a few hundred milliseconds. A caller that is refused
-meanwhile comes back after its answer would have been in time; one that is
-held that long is served in time.
+After a power loss all proxies start at the same moment, and their callers
+already send requests. The confirmation that lets a proxy serve arrives
+within a few hundred milliseconds. A caller that is refused meanwhile retries
+too late for a timely answer; a call that is held that long is served in time.
 """
 
 import dataclasses
 
 from . import call as calls
 
-# The proof takes an election and a few round trips; who waited longer is told
-# to come back.
-MAX_HOLD_MS = 400
-# What is left of a caller's patience must do for its request and for one
-# more try.
-MAX_HOLD_SHARE = 0.25
+# The confirmation takes an election and a few round trips. Calls that wait
+# longer are refused with a retry time.
+HOLD_MS = 400
+# The rest of a caller's deadline must suffice for its request and one retry.
+HOLD_SHARE = 0.25
 MAX_HELD = 256
 
 
@@ -30,7 +28,7 @@
 
 
 class PendingCalls:
-    """The calls that a proxy holds until it may serve."""
+    """The calls that a proxy buffers until it may serve."""
 
     __slots__ = ("by_id",)
 
@@ -38,21 +36,21 @@
         self.by_id: dict[int, HeldCall] = {}
 
     def hold(self, call: calls.Call, now_ms: int) -> bool:
-        """Hold a call; return whether there was room."""
+        """Buffer a call; return False if the buffer is full."""
         if len(self.by_id) >= MAX_HELD:
             return False
-        hold_ms = MAX_HOLD_MS
+        hold_ms = HOLD_MS
         if call.deadline_ms:
-            hold_ms = min(hold_ms, int(call.deadline_ms * MAX_HOLD_SHARE))
+            hold_ms = min(hold_ms, int(call.deadline_ms * HOLD_SHARE))
         self.by_id[call.call_id] = HeldCall(call, now_ms, now_ms + hold_ms)
         return True
 
     def drop(self, call_id: int) -> None:
-        """Forget a call whose caller went away."""
+        """Remove a call whose caller disconnected."""
         self.by_id.pop(call_id, None)
 
     def release(self, now_ms: int) -> list[calls.Call]:
-        """Return all calls, each with what is left of its time."""
+        """Remove and return all calls, with their remaining deadlines."""
         held_calls = list(self.by_id.values())
         self.by_id = {}
         for held in held_calls:
@@ -62,7 +60,7 @@
         return [held.call for held in held_calls]
 
     def expired(self, now_ms: int) -> list[calls.Call]:
-        """Take out the calls that waited long enough."""
+        """Remove and return the calls that reached their wait limit."""
         expired = [
             held.call
             for held in self.by_id.values()
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -1,4 +1,4 @@
-"""Which target a call is sent to: version, failure domain, load and speed."""
+"""Chooses the target of a call by version, failure domain, load and speed."""
 
 import random
 
@@ -11,26 +11,27 @@
 from . import live as live_calls
 from . import routing
 
-# How many times a request is sent on from a full target before it waits at
-# the next. With two, a free slot among a dozen targets is found nearly
-# always; each costs a round trip between proxies.
+# Number of full targets that may reject a request before it queues at the
+# next. With two, a free slot among a dozen targets is found nearly always;
+# each rejection costs a round trip between proxies.
 MAX_FULL_TARGETS = 2
-# A call that costs this part of an answer in time to send far is not sent far
-# on trial.
+# A call whose bytes cost at least this share of a timely answer's worth is not
+# sent to another failure domain if it may be rejected there.
 COSTLY_CROSSING = 0.1
-# What goes to another host passes both hosts' links. On links of 4 Mbit/s a
-# KiB takes 2 ms on each; where they are filled by a burst, calls that stay on
-# their host are what still gets through.
+# Bytes sent to another host pass both hosts' links. On links of 4 Mbit/s, one
+# KiB takes 2 ms on each. While a burst fills the links, only calls that stay
+# on their host still get through.
 REMOTE_US_PER_KIB = 4000.0
-# Some twenty calls: a route's usual work is known within seconds of its first
-# call, and one long call does not make it look slow.
+# Averages over about twenty calls. A route's usual run time is known within
+# seconds of its first call, and one long call does not make it look slow.
 MEAN_WEIGHT = 0.05
-# A target's own failures; what a caller did wrong (4xx) says nothing of it.
+# Lowest status that is the target's fault. Errors of the caller (4xx) say
+# nothing about the target.
 MIN_TARGET_FAULT_STATUS = 500
 
 
 class Placement:
-    """The choice of targets at one entry proxy.
+    """Chooses the targets of the calls at one entry proxy.
 
     Args:
         host: This proxy's host.
@@ -60,7 +61,7 @@
         self.service_means: dict[str, float] = {}
 
     def put_in_force(self, table: routing.RouteTable) -> None:
-        """Place by a new configuration; forget what it no longer names."""
+        """Switch to a new configuration and drop data of removed routes."""
         self.table = table
         names = {route.name for route in table.routes}
         for means in (self.route_means, self.route_bytes):
@@ -70,21 +71,21 @@
     def records_changed(
         self, records: record_store.Records, now_ms: int
     ) -> None:
-        """Take in the hosts' records."""
+        """Rebuild the endpoints from the hosts' records."""
         self.endpoints.rebuild(records, self.table, now_ms)
         self.balancer.keep_only(self.endpoints.by_key)
 
     def usual_us(self, route: messages.Route) -> float:
-        """Return how long a route's requests run as a rule, 0 if unknown."""
+        """Return the usual run time of a route's requests, 0 if unknown."""
         return self.route_means.get(route.name, 0.0)
 
     def place(
         self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
-        """Return a target, and settle whether a call may wait there.
+        """Return a target, and set whether the call may queue there.
 
-        The body of a large call does not leave before the call is taken, so
-        it costs little to send one on.
+        The body of a large call is not sent before the target's proxy accepts
+        the call, so forwarding such a call again costs little.
         """
         costly = self._crossing_cost(live.route) >= COSTLY_CROSSING
         if costly and not bodies.is_large(live.call.body):
@@ -94,10 +95,11 @@
     def _choose_costly(
         self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
-        """Place a call whose bytes are costly to send far.
+        """Place a call whose bytes are costly to send to another domain.
 
-        It may go back to the queue of a full near target, and waits at the
-        far one that it is sent to: refused there, it would cross once more.
+        It may queue at a full local target that rejected it before. It always
+        queues at a cross-domain target, since after a rejection there its
+        bytes would cross between domains again.
         """
         endpoint = self.choose(live, live.tried, now_ms)
         live.may_queue = endpoint is not None and (
@@ -109,11 +111,11 @@
     def _choose_by_forwarding(
         self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
-        """Place a call that costs little to send on.
+        """Place a call that costs little to forward again.
 
-        It is sent on from full targets a few times, since one that is free
-        is likely to be found. Then it waits at the one that looks best, full
-        ones among them.
+        It is forwarded a few times after full targets reject it, since this
+        is likely to find a free one. Then it queues at the best target, which
+        may be a full one.
         """
         live.may_queue = False
         if len(live.full_targets) < MAX_FULL_TARGETS:
@@ -137,11 +139,11 @@
         endpoint: routing.Endpoint,
         now_ms: int,
     ) -> bool:
-        """Tell whether a call would go far to be refused once more.
+        """Tell whether another domain would probably reject a call again.
 
-        In an overload all targets are full. Calls that are refused in other
-        failure domains, one after the other, cross between them more often
-        and are in time no more often than those that wait.
+        In an overload all targets are full. Calls that are rejected in one
+        failure domain after the other cross between domains more often than
+        calls that queue, but are not answered in time more often.
         """
         return (
             self._is_cross_domain(endpoint)
@@ -152,12 +154,12 @@
     def choose(
         self, live: live_calls.LiveCall, tried: set[str], now_ms: int
     ) -> routing.Endpoint | None:
-        """Return a target of the drawn version, else of another in force.
+        """Return a target of the drawn version, or of another as a fallback.
 
-        The other versions are a fallback: a version whose targets are all
-        away or shedding must not cost callers an answer that another
-        version with a share can give. While a move runs, a version on trial
-        stands in only for one without any target.
+        If all targets of the drawn version are unavailable or shedding,
+        callers still get an answer from another version with a share. While a
+        move runs, the new version replaces the old one only if that has no
+        target at all.
         """
         service = live.service
         if self.table is None or service not in self.table.shares:
@@ -187,9 +189,9 @@
     def _versions(self, live: live_calls.LiveCall) -> list[str]:
         """Return the versions that may serve a call, the drawn one first.
 
-        One is drawn once for each call. Drawn anew whenever a full target
-        sends the call on, a version on trial would meet many times its
-        share of a service that is short of slots.
+        The version is drawn once for each call. If it were drawn again
+        whenever a full target rejects the call, the new version of a service
+        that is short of slots would receive many times its share.
         """
         halted = self.halted.get(live.service, frozenset())
         in_force = self.table.versions(live.service)
@@ -212,11 +214,11 @@
         )
 
     def _crossing_cost(self, route: messages.Route) -> float:
-        """Return what it costs to send a call far, in answers in time."""
+        """Return the cross-domain cost of a call, in timely answers."""
         return crossing.cost(self._mean_kib(route))
 
     def _mean_kib(self, route: messages.Route) -> float:
-        """Return how much a route's calls carry as a rule, both ways."""
+        """Return the mean KiB that a route's calls and answers carry."""
         return self.route_bytes.get(route.name, 0.0) / 1024
 
     def note_answered(
@@ -226,10 +228,10 @@
         latency_us: int,
         now_ms: int,
     ) -> None:
-        """Tell the balancer how long an average request takes there.
+        """Record an answer, with its time scaled to an average request.
 
-        Routes differ in their work several times over; compared as they
-        are, a target that got two long requests would look slow.
+        The run times of routes differ by a factor of several. Without the
+        scaling, a target that got two long requests would look slow.
         """
         self._update_mean(
             self.route_bytes, live.route.name, _carried_bytes(live, answer)
@@ -259,6 +261,6 @@
 
 
 def _carried_bytes(live: live_calls.LiveCall, answer: messages.Answer) -> int:
-    """Return how many bytes a call and its answer carry."""
+    """Return the size of a call and its answer in bytes."""
     asked = len(live.call.headers) + len(live.call.body)
     return asked + len(answer.headers or b"") + len(answer.body or b"")
--- a/libs/requests/src/trefoil_requests/quarantine.py
+++ b/libs/requests/src/trefoil_requests/quarantine.py
@@ -12,18 +12,23 @@
 
 @dataclasses.dataclass(slots=True)
 class CrashMark:
-    """One crash that a request was running in."""
+    """A crash during which a request was running.
+
+    Args:
+        notice_id: Id of the crash's notice.
+        until_ms: When the mark expires.
+    """
 
     notice_id: int
     until_ms: int
 
 
 class Quarantine:
-    """Fingerprints of requests seen in crashes, shared by the fleet.
+    """Fingerprints of requests that ran during crashes, shared by the fleet.
 
-    When several requests ran on a target that crashed, each is marked. An
-    innocent one succeeds elsewhere soon, which clears its marks, and marks
-    from such a crash fade sooner; the guilty one never succeeds.
+    If several requests ran on a target that crashed, each is marked. One that
+    did not cause the crash soon succeeds elsewhere, which clears its marks,
+    and marks from such a crash expire sooner. The cause never succeeds.
     """
 
     __slots__ = ("marks", "seen")
@@ -33,7 +38,7 @@
         self.seen: dict[int, int] = {}
 
     def crashes(self, fingerprint: int, now_ms: int) -> int:
-        """Return in how many crashes a request was running."""
+        """Return the number of crashes during which a request was running."""
         marks = self.marks.get(fingerprint)
         if not marks:
             return 0
@@ -49,7 +54,7 @@
         return self.crashes(fingerprint, now_ms) >= CRASHES_ALLOWED
 
     def hear(self, notice: messages.CrashNotice, now_ms: int) -> bool:
-        """Take a notice; return whether it was news, to be passed on."""
+        """Apply a notice; return whether it is new and has to be forwarded."""
         if notice.notice_id in self.seen:
             return False
         self._remember(notice.notice_id, now_ms)
@@ -69,7 +74,7 @@
     def succeeded(
         self, fingerprint: int, notice_id: int
     ) -> messages.CrashNotice | None:
-        """Clear an innocent request; return the notice to spread, if any."""
+        """Clear a request that succeeded; return the notice to broadcast."""
         if fingerprint not in self.marks:
             return None
         del self.marks[fingerprint]
--- a/libs/requests/src/trefoil_requests/routing.py
+++ b/libs/requests/src/trefoil_requests/routing.py
@@ -1,4 +1,4 @@
-"""Routing: which route a request takes, to which targets it may lead."""
+"""Routing: matches requests to routes, and routes to targets."""
 
 import collections.abc
 import dataclasses
@@ -11,13 +11,13 @@
 from trefoil_wire import messages
 
 ANY = "*"
-# The version that stands for all that no other share of its service names.
+# In a service's shares, stands for all versions that no other share names.
 OTHER_VERSIONS = ""
 
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """A target as other proxies see it."""
+    """A target as announced to other proxies."""
 
     host: str
     domain: str
@@ -26,7 +26,7 @@
 
     @property
     def key(self) -> str:
-        """Return the target's name in the fleet."""
+        """Return the target's unique name in the fleet."""
         return f"{self.host}/{self.target.name}"
 
 
@@ -69,8 +69,8 @@
         """Return the route of a request.
 
         Raises:
-            ProtocolError: No route takes it (404), or none with its method
-                (405).
+            ProtocolError: No route matches it (404), or none allows its
+                method (405).
         """
         other_method = False
         for route in self._candidates(host, path.partition("?")[0]):
@@ -84,10 +84,10 @@
     def _candidates(
         self, host: str, path: str
     ) -> collections.abc.Iterator[messages.Route]:
-        """Return the routes over a path, the most specific first.
+        """Return the routes whose prefix covers a path, longest first.
 
-        One look-up a segment of the path: hundreds of routes would else be
-        compared with each request's path one by one.
+        Needs one look-up per segment of the path, instead of comparing the
+        path with hundreds of routes one by one.
         """
         for name in (host, ANY):
             ancestor = path
@@ -109,7 +109,7 @@
         Args:
             service: Name of the service.
             rng: Draws the version.
-            halted: Versions that this proxy no longer sends to, by its own
+            halted: Versions that this proxy stopped using because of its own
                 evidence.
         """
         shares = self.shares[service].shares
@@ -133,11 +133,11 @@
         return [share.version for share in shares if share.permille]
 
     def may_overflow(self, service: str, version: str) -> bool:
-        """Tell whether a version's calls may go to others when it is full.
+        """Tell whether a full version's calls may go to other versions.
 
-        While a move runs, calls leave the version with the smaller share
-        for the greater one only. The other way round, a service short of
-        slots would send callers to a version on trial beyond its share.
+        While a move runs, calls overflow only from the version with the
+        smaller share to the one with the greater. In the other direction, a
+        service short of slots would send the new version more than its share.
         """
         if not self.shares[service].move_id:
             return True
@@ -145,7 +145,7 @@
 
 
 def _is_under_prefix(path: str, prefix: str) -> bool:
-    """Tell whether a path lies under a prefix, at a segment's edge."""
+    """Tell whether a prefix covers a path and ends at a segment boundary."""
     if not path.startswith(prefix):
         return False
     return (
@@ -160,7 +160,7 @@
 
 
 def draw_service(route: messages.Route, rng: random.Random) -> str:
-    """Return the service that a call on a route goes to, by weight."""
+    """Draw the service that a call on a route goes to, by weight."""
     if not route.backends:
         return route.service_name
     weights = [backend.weight for backend in route.backends]
@@ -168,7 +168,7 @@
 
 
 class Endpoints:
-    """The targets that requests may be led to, by service and version."""
+    """The targets that requests may be sent to, by service and version."""
 
     __slots__ = (
         "by_version",
@@ -191,7 +191,7 @@
         table: RouteTable | None,
         now_ms: int,
     ) -> None:
-        """Take in the hosts' records, and what a configuration leaves out."""
+        """Rebuild from the hosts' records, without excluded targets."""
         self.by_version = {}
         self.by_service = {}
         self.by_key = {}
@@ -230,13 +230,14 @@
         resource: str,
         named_versions: collections.abc.Container[str] = (),
     ) -> list[Endpoint]:
-        """Return the targets of a version that hold a resource.
+        """Return the targets that serve a version and hold a resource.
 
         Args:
             service: Name of the service.
-            version: The version; ``UNNAMED`` stands for all but ``named``.
+            version: The version; ``OTHER_VERSIONS`` stands for all
+                versions that are not in ``named_versions``.
             resource: The resource, empty for any.
-            named: Versions that the service's shares name.
+            named_versions: Versions that the service's shares name.
         """
         endpoints = self.by_version.get((service, version), [])
         if version == OTHER_VERSIONS:
--- a/libs/requests/src/trefoil_requests/warmup.py
+++ b/libs/requests/src/trefoil_requests/warmup.py
@@ -1,11 +1,11 @@
-"""What a target gets while it is cold.
-
-The load that this answers: targets that come back together after a loss of
-power, with all callers waiting. A cold target is slow and crashes when it gets
-more than it bears; then it comes back cold, the others get its share and crash
-as well, and the service falls over again and again. Every request of a target
-passes the proxy on its host, so that proxy alone can keep the bound for the
-whole fleet.
+"""Rate limit for a target while it is cold.
+
+After a power loss all targets of a service restart together while all callers
+wait. A cold target is slow and crashes if it gets more requests than it can
+handle. It then restarts cold, the other targets get its share and crash as
+well, and the service does not recover. Every request to a target passes the
+proxy on its host, so that proxy alone can enforce the limit for the whole
+fleet.
 """
 
 import dataclasses
@@ -13,20 +13,22 @@
 
 from trefoil_wire import messages
 
-# What a target says of its warm-up is some way old.
+# A target's report of its remaining warm-up is slightly out of date when it
+# arrives.
 MARGIN_MS = 50
-# A request of the burst is left out: bounds count whole requests.
+# One request is taken off the burst, since the limit counts whole requests
+# in any second.
 RESERVED_REQUESTS = 1.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Limit:
-    """What a cold target of a service may get.
+    """Rate limit of a cold target.
 
     Args:
-        per_s: Requests a second.
-        burst: Requests at once after it got none for a while.
-        lasts_ms: How long a target is cold after its start.
+        per_s: Requests per second.
+        burst: Requests at once after a time without any.
+        lasts_ms: How long a target stays cold after its start.
     """
 
     per_s: float
@@ -41,8 +43,8 @@
 
         Args:
             service: The service.
-            overage: How many times the rate that a target bears it may get.
-            slack: How many requests besides, in any second.
+            overage: Allowed rate as a multiple of the configured one.
+            slack: Additional requests allowed in any second.
         """
         if not service.warmup_per_s:
             return None
@@ -52,13 +54,14 @@
 
 
 class Warmup:
-    """Whether a target is cold, and what it may still get if so.
+    """Token bucket for a target that may be cold.
 
-    In any second it gets at most the rate and the burst. A target that turns
-    cold has spent its burst: what it got just before counts too.
+    In any second a cold target gets at most the rate plus the burst. A target
+    that turns cold starts without burst, since the requests that it got just
+    before count too.
 
     Args:
-        limit: What it may get while it is cold; None for anything.
+        limit: Its rate limit while it is cold; None for no limit.
     """
 
     __slots__ = ("limit", "until_ms", "presumed", "tokens", "at_ms")
@@ -75,20 +78,20 @@
         return now_ms < self.until_ms
 
     def is_limited(self, now_ms: int) -> bool:
-        """Tell whether the target may get no more than its limit."""
+        """Tell whether the rate limit applies to the target now."""
         return self.limit is not None and now_ms < self.until_ms
 
     def announce(self, left_ms: int, now_ms: int) -> None:
-        """Note how much longer the target is cold, as it announces.
+        """Record the remaining warm-up that the target announced.
 
-        Words that it is warm may have been on their way since before it
-        turned cold; while that is presumed they do not count.
+        An announcement that it is warm may have been sent before it turned
+        cold, so it is ignored while the target is presumed cold.
         """
         if left_ms or not (self.presumed and self.is_cold(now_ms)):
             self.tell(left_ms, now_ms)
 
     def tell(self, left_ms: int, now_ms: int) -> None:
-        """Note how much longer the target is cold, as it was just asked."""
+        """Record the remaining warm-up that the target returned when asked."""
         self.presumed = False
         if not left_ms:
             self.until_ms = min(self.until_ms, now_ms)
@@ -99,25 +102,25 @@
         self.until_ms = now_ms + left_ms + MARGIN_MS
 
     def presume(self, now_ms: int) -> None:
-        """Take the target for cold until it tells how long it is."""
+        """Presume that the target is cold until it reports its warm-up."""
         if self.limit is not None:
             self.tell(self.limit.lasts_ms, now_ms)
             self.presumed = True
 
     def may_start(self, now_ms: int) -> bool:
-        """Tell whether it may get a request now."""
+        """Tell whether the target may start a request now."""
         return not self.is_limited(now_ms) or self._refill(now_ms) >= 1.0
 
     def started(self, now_ms: int) -> None:
-        """Note that it gets a request."""
+        """Count a request that the target starts."""
         if self.is_limited(now_ms):
             self.tokens -= 1.0
 
     def wait_ms(self, ahead: int, now_ms: int) -> float:
-        """Return how long a request waits behind others.
+        """Return how long the rate limit delays a request.
 
         Args:
-            ahead: How many wait before it.
+            ahead: Number of requests that wait before it.
             now_ms: The time on the runtime's clock.
         """
         if not self.is_limited(now_ms):
