--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -87,7 +87,7 @@
         "pending",
         "by_request",
         "draining",
-        "ids",
+        "last_id",
         "out",
     )
 
@@ -117,7 +117,7 @@
         self.pending = pending_calls.PendingCalls()
         self.by_request: dict[int, int] = {}
         self.draining = False
-        self.ids = rng.getrandbits(61)
+        self.last_id = rng.getrandbits(61)
         self.out: list[typing.Any] = []
 
     # Configuration and fleet
@@ -288,15 +288,17 @@
         self.by_request[live.request_id] = live.call.call_id
         self.balancer.started(endpoint.key)
         body = live.call.body
-        waits = endpoint.host != self.local_host and bodies.is_large(body)
+        body_follows = endpoint.host != self.local_host and bodies.is_large(
+            body
+        )
         request = messages.Request(
             request_id=live.request_id,
             route=route.name,
             method=live.call.method,
             path=live.call.path,
             headers=live.call.headers,
-            body=b"" if waits else body,
-            body_bytes=len(body) if waits else 0,
+            body=b"" if body_follows else body,
+            body_bytes=len(body) if body_follows else 0,
             deadline_ms=max(live.deadline_at_ms - now_ms, 1),
             target=endpoint.target.name,
             crashes=live.crashes,
@@ -322,11 +324,11 @@
             # The request was cancelled; the target's proxy will be notified.
             return []
         end = pull.offset + pull.length
-        piece = messages.BodyPiece(
+        chunk = messages.BodyPiece(
             pull.request_id, pull.offset, live.call.body[pull.offset : end]
         )
         endpoint = attempt.endpoint
-        return [effects.Send(endpoint.host, endpoint.address, piece)]
+        return [effects.Send(endpoint.host, endpoint.address, chunk)]
 
     # Answers
 
@@ -577,11 +579,11 @@
         if not self._may_hedge(live):
             return False
         usual_us = self.placement.usual_us(live.route)
-        bound_us = max(usual_us * HEDGE_FACTOR, MIN_HEDGE_WAIT_US)
+        hedge_after_us = max(usual_us * HEDGE_FACTOR, MIN_HEDGE_WAIT_US)
         # A hedge can't help an answer that waits for a link; its own answer
         # would queue for a link as well.
-        bound_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
-        return usual_us > 0 and now_us - live.sent_us >= bound_us
+        hedge_after_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
+        return usual_us > 0 and now_us - live.sent_us >= hedge_after_us
 
     def _await_other_attempt(
         self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
@@ -716,11 +718,11 @@
     def _abandon(self, live: live_calls.LiveCall) -> None:
         """Cancel the request at the target's proxy, or drop the claim."""
         if live.request_id in self.by_request:
-            self._tell_cancel(live.request_id, live.endpoint)
+            self._send_cancel(live.request_id, live.endpoint)
         else:
             self.out.extend(self.claims.drop(live.call.call_id))
 
-    def _tell_cancel(
+    def _send_cancel(
         self, request_id: int, endpoint: routing.Endpoint
     ) -> None:
         self.by_request.pop(request_id, None)
@@ -731,7 +733,7 @@
         )
 
     def _finish_quarantined(self, live: live_calls.LiveCall) -> None:
-        self._not_run(
+        self._finish_not_run(
             live,
             422,
             "quarantined: this request crashed the targets that ran it",
@@ -744,9 +746,9 @@
             # 503 states that it did not run, but an earlier attempt may have.
             self._finish_lost(live, 502, reason, wait_ms)
             return
-        self._not_run(live, 503, reason, wait_ms)
+        self._finish_not_run(live, 503, reason, wait_ms)
 
-    def _not_run(
+    def _finish_not_run(
         self,
         live: live_calls.LiveCall,
         status: int,
@@ -771,7 +773,9 @@
         wait_ms: int = 0,
     ) -> None:
         if not live.may_have_run:
-            self._not_run(live, status, reason, wait_ms or RETRY_AFTER_MS)
+            self._finish_not_run(
+                live, status, reason, wait_ms or RETRY_AFTER_MS
+            )
             return
         self._finish(
             live,
@@ -822,7 +826,7 @@
 
     def _finish(self, live: live_calls.LiveCall, final: calls.Final) -> None:
         if final.own:
-            self._note_own(live, final)
+            self._log_own_answer(live, final)
         self._drop(live)
         self.out.append(effects.Finish(final))
 
@@ -830,14 +834,16 @@
         self.live.pop(live.call.call_id, None)
         self.by_request.pop(live.request_id, None)
         if live.hedge is not None:
-            self._tell_cancel(live.hedge.request_id, live.hedge.endpoint)
+            self._send_cancel(live.hedge.request_id, live.hedge.endpoint)
             self.balancer.note_cancelled(live.hedge.endpoint.key)
             if live.hedge.paid:
                 self.accounts.arrived(live.service)
             live.hedge = None
         self.accounts.end(live)
 
-    def _note_own(self, live: live_calls.LiveCall, final: calls.Final) -> None:
+    def _log_own_answer(
+        self, live: live_calls.LiveCall, final: calls.Final
+    ) -> None:
         """Log a final answer that this proxy generated itself."""
         event = "request.lost" if final.ran else "request.refused"
         endpoint = live.endpoint
@@ -871,8 +877,8 @@
         )
 
     def _next_id(self) -> int:
-        self.ids = (self.ids + 1) & ((1 << 62) - 1)
-        return self.ids
+        self.last_id = (self.last_id + 1) & ((1 << 62) - 1)
+        return self.last_id
 
     def _flush(self) -> list[typing.Any]:
         out = self.out
--- a/libs/requests/tests/test_attribution.py
+++ b/libs/requests/tests/test_attribution.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for calls, and whose calls they are."""
+"""Tests of which requests count as calls, and of which runs."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass
 class Run:
-    """A request that runs on a target."""
+    """Stands in for a request that runs on a target."""
 
     route: str
     repeat: float = 0.0
@@ -19,12 +19,12 @@
 
 
 def origins(front: int, back: int) -> attribution.Origins:
-    """Return what a target saw of a route, by what its senders are beside."""
+    """Return a target's request counts by the services of the senders."""
     senders = attribution.Origins()
     senders.hosts = HOSTS
-    for beside, count in (("front", front), ("back", back)):
+    for services, count in (("front", front), ("back", back)):
         for _ in range(count):
-            senders.note("r", beside)
+            senders.note("r", services)
     return senders
 
 
@@ -45,15 +45,15 @@
     assert senders.call_share("r", "front") == pytest.approx(share)
 
 
-def test_where_all_hosts_are_alike_nothing_is_taken_for_a_call() -> None:
+def test_no_request_counts_as_a_call_if_all_hosts_are_alike() -> None:
     senders = attribution.Origins()
     senders.hosts = {"front": 8}
     senders.note("r", "front")
     assert senders.call_share("r", "front") == 0.0
 
 
-def test_old_requests_are_forgotten() -> None:
-    """A route that only targets used is opened to callers."""
+def test_old_requests_lose_their_weight() -> None:
+    """Covers a route that only targets used until callers start to use it."""
     senders = origins(attribution.MAX_COUNTED, 0)
     for _ in range(3 * attribution.MAX_COUNTED):
         senders.note("r", "front")
@@ -62,7 +62,7 @@
     assert senders.call_share("r", "front") == pytest.approx(0, abs=0.1)
 
 
-def test_a_call_is_shared_out_over_the_runs_that_may_have_made_it() -> None:
+def test_a_call_is_divided_among_the_runs_that_may_have_made_it() -> None:
     parents = attribution.Parents({"calls": 1.0, "quiet": 0.0})
     runs = [Run("calls"), Run("calls", repeat=1.0), Run("quiet", repeat=1.0)]
     assert parents.repeat_share(runs, 1.0) == pytest.approx(0.5)
@@ -71,8 +71,8 @@
     assert parents.repeat_share([], 1.0) == 0.0
 
 
-def test_routes_whose_runs_call_nobody_are_learned() -> None:
-    """Runs of two routes overlap; only those of one make a call each."""
+def test_routes_whose_runs_make_no_calls_are_learned() -> None:
+    """Runs of two routes overlap, and only those of one make a call each."""
     parents = attribution.Parents()
     for number in range(2000):
         calling, quiet = Run("calls"), Run("quiet")
@@ -87,7 +87,7 @@
     assert parents.calls_of["quiet"] < 0.1
 
 
-def test_what_a_few_targets_tell_evens_out() -> None:
+def test_reports_of_several_targets_are_averaged() -> None:
     call_shares = attribution.CallShares()
     assert call_shares.share("r") == 1.0
     for _ in range(30):
@@ -99,7 +99,7 @@
     assert call_shares.share("r") == 0.0
 
 
-def test_routes_that_are_gone_are_forgotten() -> None:
+def test_removed_routes_are_dropped() -> None:
     call_shares = attribution.CallShares({"r": 1.0, "s": 0.5})
     call_shares.keep_only({"s"})
     assert call_shares.shares == {"s": 0.5}
@@ -108,7 +108,7 @@
     assert parents.calls_of == {"s": 0.5}
 
 
-def test_hosts_are_counted_by_what_is_beside_them() -> None:
+def test_hosts_are_counted_by_their_services() -> None:
     senders = attribution.hosts_by_services(
         [["b", "a"], ["a", "b"], [], ["a"]]
     )
--- a/libs/requests/tests/test_fleet_budget.py
+++ b/libs/requests/tests/test_fleet_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget of a whole fleet, as its targets see the arrivals."""
+"""Tests of a fleet's retry budget, by the requests that reach targets."""
 
 import hypothesis
 from hypothesis import stateful
@@ -15,11 +15,11 @@
 CHECK = core_fleet.Kind("check", 0, 40, 150, 500, 500)
 FRONT = "front"
 BACK = "back"
-PARTS = strategies.sampled_from([0.0, 0.1, 0.3, 0.5, 0.7])
+FAULT_SHARES = strategies.sampled_from([0.0, 0.1, 0.3, 0.5, 0.7])
 
 
 def fleet(seed: int = 1) -> troubled_fleet.TroubledFleet:
-    """Return six targets of a service, most of whose runs call another."""
+    """Return six targets of a service whose runs mostly call another one."""
     return troubled_fleet.TroubledFleet(
         [
             troubled_fleet.Service(FRONT, 6, [BROWSE, CHARGE]),
@@ -31,27 +31,29 @@
     )
 
 
-def over(found: troubled_fleet.TroubledFleet) -> dict[str, str]:
-    """Return the services that got more than they may, and how much."""
+def services_over_budget(
+    fleet_run: troubled_fleet.TroubledFleet,
+) -> dict[str, str]:
+    """Return the services whose repeats exceed the budget, and the excess."""
     return {
         name: str(excess)
-        for name, excess in found.worst().items()
+        for name, excess in fleet_run.worst().items()
         if excess.over > 0
     }
 
 
-def test_calls_of_repeated_runs_count_in_the_budget_of_who_is_called() -> None:
-    """Both ends of a chain refuse; a repeat's calls were paid by nobody."""
-    found = fleet()
-    found.run(5000)
-    found.behaviour[FRONT].refusing = 0.45
-    found.behaviour[BACK].refusing = 0.55
-    found.run(12_000)
-    assert over(found) == {}
+def test_calls_of_repeated_runs_count_in_the_called_services_budget() -> None:
+    """Both ends of a chain refuse, and calls of repeats must be charged."""
+    fleet_run = fleet()
+    fleet_run.run(5000)
+    fleet_run.behaviour[FRONT].refusing = 0.45
+    fleet_run.behaviour[BACK].refusing = 0.55
+    fleet_run.run(12_000)
+    assert services_over_budget(fleet_run) == {}
 
 
-class Trouble(stateful.RuleBasedStateMachine):
-    """Whatever befalls a fleet, no service gets more repeats than it may."""
+class FleetFaults(stateful.RuleBasedStateMachine):
+    """No service gets more repeats than its budget under any fault."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,21 +66,21 @@
 
     @stateful.rule(
         service=strategies.sampled_from([FRONT, BACK]),
-        refusing=PARTS,
-        breaking=PARTS,
+        refusing=FAULT_SHARES,
+        breaking=FAULT_SHARES,
         slow=strategies.sampled_from([1.0, 4.0, 12.0]),
     )
     def targets_change(
         self, service: str, refusing: float, breaking: float, slow: float
     ) -> None:
-        """Let the targets of a service refuse, break off or turn slow."""
+        """Make the targets of a service refuse, break off or slow down."""
         self.fleet.behaviour[service] = troubled_fleet.Behaviour(
             refusing, breaking, slow
         )
 
     @stateful.rule(load=strategies.sampled_from([0.5, 1.0, 1.8]))
     def callers_come(self, load: float) -> None:
-        """Change how many callers come."""
+        """Change the number of callers."""
         self.fleet.load = load
 
     @stateful.rule(
@@ -86,7 +88,7 @@
         for_ms=strategies.sampled_from([300, 900, 3000]),
     )
     def host_freezes(self, number: int, for_ms: int) -> None:
-        """Let a host stand still for a while."""
+        """Freeze a host for a while."""
         self.fleet.freeze(self.host(number), for_ms)
 
     @stateful.rule(
@@ -94,7 +96,7 @@
         count=strategies.sampled_from([1, 3, 20]),
     )
     def hosts_restart(self, number: int, count: int) -> None:
-        """Kill some proxies, or all of them, and start them again."""
+        """Kill some or all proxies and restart them."""
         for step in range(min(count, len(self.fleet.hosts))):
             self.fleet.restart(self.host(number + step))
 
@@ -104,21 +106,21 @@
         known_to=strategies.sampled_from([0.5, 1.0]),
     )
     def host_joins(self, service: str, known_to: float) -> None:
-        """Add a host that some of the others may not hear of."""
+        """Add a host that is announced to only some of the others."""
         self.fleet.join(service, known_to)
 
     @stateful.rule(lasts_ms=strategies.sampled_from([300, 2000, 8000]))
     def time_passes(self, lasts_ms: int) -> None:
-        """Let callers come and targets answer."""
+        """Run the fleet for some time."""
         self.fleet.run(lasts_ms)
 
     def teardown(self) -> None:
-        """Add up every window."""
+        """Check the sum of every window."""
         self.fleet.run(3000)
-        assert over(self.fleet) == {}
+        assert services_over_budget(self.fleet) == {}
 
 
-Trouble.TestCase.settings = hypothesis.settings(
+FleetFaults.TestCase.settings = hypothesis.settings(
     max_examples=30, stateful_step_count=20
 )
-TestTrouble = Trouble.TestCase
+TestFleetFaults = FleetFaults.TestCase
--- a/libs/requests/tests/test_spending.py
+++ b/libs/requests/tests/test_spending.py
@@ -1,10 +1,10 @@
-"""What is told of the retry budgets."""
+"""Tests of the log lines about retry budgets."""
 
 from trefoil_requests import budget
 from trefoil_requests import spending
 
 
-def test_a_second_of_repeats_is_told_by_cause() -> None:
+def test_repeats_are_reported_each_second_by_cause() -> None:
     retry_budget = budget.RetryBudget(0.5)
     budgets = {"s": retry_budget, "quiet": budget.RetryBudget(0.5)}
     spending_log = spending.SpendingLog()
--- a/libs/requests/tests/test_warmup.py
+++ b/libs/requests/tests/test_warmup.py
@@ -1,4 +1,4 @@
-"""The bound on what a cold target gets, over every second."""
+"""Tests of the request limit of a cold target over any second."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -12,19 +12,19 @@
 OVERAGE = 1.5
 SLACK = 8.0
 LASTS_MS = 3000
-MOST = int(PER_S * OVERAGE + SLACK)
+MAX_STARTS_PER_S = int(PER_S * OVERAGE + SLACK)
 SLOTS = 30
-FAR_MS = 10_000
+LONG_DEADLINE_MS = 10_000
 
 
 def limit() -> warmups.Limit:
-    """Return the limit of a service."""
+    """Return the cold-target limit of a service."""
     service = messages.Service(
         "s", [], "v1", warmup_ms=LASTS_MS, warmup_per_s=PER_S
     )
-    made = warmups.Limit.from_service(service, OVERAGE, SLACK)
-    assert made is not None
-    return made
+    cold_limit = warmups.Limit.from_service(service, OVERAGE, SLACK)
+    assert cold_limit is not None
+    return cold_limit
 
 
 def test_a_service_without_a_rate_has_no_limit() -> None:
@@ -32,24 +32,24 @@
     assert warmups.Limit.from_service(service, OVERAGE, SLACK) is None
 
 
-def test_a_wait_for_a_cold_target_is_known_before() -> None:
-    """A request that can't start in time is refused at once."""
+def test_a_wait_for_a_cold_target_is_known_in_advance() -> None:
+    """A request that can't start by its deadline is refused at once."""
     warmup = warmups.Warmup(limit())
     warmup.announce(LASTS_MS, 0)
     gate = admission.Admission(SLOTS, warmup)
-    gate.offer(admission.Waiting(1, FAR_MS), 0)
-    gate.offer(admission.Waiting(2, FAR_MS), 0)
+    gate.offer(admission.Waiting(1, LONG_DEADLINE_MS), 0)
+    gate.offer(admission.Waiting(2, LONG_DEADLINE_MS), 0)
     decision = gate.offer(admission.Waiting(3, 200, priority=1), 0)
     assert isinstance(decision, admission.Refused)
     assert 250 <= decision.retry_after_ms <= 350
 
 
-class OneTarget(stateful.RuleBasedStateMachine):
-    """One target that turns cold at any time, and many who want it.
+class ColdTarget(stateful.RuleBasedStateMachine):
+    """One target that turns cold at any time, under many requests.
 
-    It turns cold by a start, which its announcement tells, or without one
-    after an evacuation, which its proxy presumes. Whatever its proxy hears
-    late, no second in which it is cold has more starts than allowed.
+    It turns cold by a restart, which it announces, or after an evacuation,
+    which its proxy presumes. Even if announcements arrive late, no second in
+    which it is cold has more starts than allowed.
     """
 
     def __init__(self) -> None:
@@ -60,69 +60,71 @@
         self.cold: list[tuple[int, int]] = []
         self.starts: list[int] = []
 
-    def _take(self, started: bool) -> None:
+    def _note_start(self, started: bool) -> None:
         if started:
             self.starts.append(self.now_ms)
 
     @stateful.rule(count=st.integers(1, 40))
     def arrive(self, count: int) -> None:
-        """Let requests come that may wait."""
+        """Offer requests that may wait."""
         for _ in range(count):
             self.number += 1
-            waiting = admission.Waiting(self.number, self.now_ms + FAR_MS)
+            waiting = admission.Waiting(
+                self.number, self.now_ms + LONG_DEADLINE_MS
+            )
             decision = self.gate.offer(waiting, self.now_ms)
-            self._take(isinstance(decision, admission.Admitted))
+            self._note_start(isinstance(decision, admission.Admitted))
 
     @stateful.rule(by_ms=st.sampled_from([1, 10, 50, 120, 700]))
     def wait(self, by_ms: int) -> None:
-        """Let time pass, and start what may start."""
+        """Let time pass, and start the requests that are admitted."""
         self.now_ms += by_ms
         while self.gate.next_admitted(self.now_ms) is not None:
-            self._take(True)
+            self._note_start(True)
 
     @stateful.rule(count=st.integers(1, SLOTS))
     def finish(self, count: int) -> None:
-        """Let some requests end."""
+        """Finish some requests."""
         for _ in range(min(count, self.gate.running)):
             self.gate.finished(5.0)
 
     @stateful.rule()
     def start(self) -> None:
-        """Let the target start again; its first announcement tells."""
+        """Restart the target, which announces its warm-up."""
         self.starts = []
         self.cold.append((self.now_ms, self.now_ms + LASTS_MS))
         self.gate.warmup.announce(LASTS_MS, self.now_ms)
 
     @stateful.rule(age_ms=st.integers(0, 1000))
     def evacuated(self, age_ms: int) -> None:
-        """Let its domain be taken back; it turned cold just before."""
+        """End the evacuation of its domain; it turned cold just before."""
         until_ms = self.now_ms - age_ms + LASTS_MS
         self.cold.append((self.now_ms - age_ms, until_ms))
         self.starts = []
         self.gate.warmup.presume(self.now_ms)
 
     @stateful.rule()
-    def late_word(self) -> None:
-        """Let an announcement come that is older than the presumption."""
+    def late_announcement(self) -> None:
+        """Deliver an announcement that is older than the presumption."""
         if self.gate.warmup.presumed:
             self.gate.warmup.announce(0, self.now_ms)
 
     @stateful.rule()
     def asked(self) -> None:
-        """Let it tell the truth."""
+        """Let the target return its remaining warm-up when asked."""
         if self.cold:
             left_ms = max(until for _, until in self.cold) - self.now_ms
             self.gate.warmup.tell(max(left_ms, 0), self.now_ms)
 
     @stateful.invariant()
     def no_second_has_too_many(self) -> None:
-        """Check the seconds that end now, of the time in which it is cold."""
+        """Check the starts within the last second of the cold time."""
         cold = [c for c in self.cold if c[0] <= self.now_ms < c[1]]
         if cold:
             since_ms = max(min(c[0] for c in cold), self.now_ms - 999)
             count = sum(at_ms >= since_ms for at_ms in self.starts)
-            assert count <= MOST
+            assert count <= MAX_STARTS_PER_S
 
 
-TestOneTarget = OneTarget.TestCase
-TestOneTarget.settings = settings(max_examples=150, stateful_step_count=40)
+TestColdTarget = ColdTarget.TestCase
+TestColdTarget.settings = settings(max_examples=150, stateful_step_count=40)
