--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -21,7 +21,8 @@
 # A target without measurements is assumed to be slightly faster than the best
 # one, so that it gets tried. Its load then limits how many requests follow.
 UNSEEN_FACTOR = 0.8
-# Round trip to another failure domain.
+# Penalty of a cross-domain target: the round trip to its failure domain, and a
+# share of the run time.
 CROSS_DOMAIN_US = 3000.0
 # Round trip on idle links, plus the rounding error of times in milliseconds.
 IDLE_TRANSIT_US = 4000
@@ -45,7 +46,7 @@
 # Cross-domain targets are compared in case the local ones are full or slow.
 # The more local ones are compared, the less traffic crosses domains.
 MAX_LOCAL_COMPARED = 9
-# Hedged requests leave a quarter of the slots to first attempts.
+# Hedges leave a quarter of the slots to requests that were not sent before.
 FREE_SLOTS_LOAD = 0.75
 JITTER = 0.05
 REFUSED_PAUSE_MS = 50
@@ -62,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetStats:
-    """What this proxy has measured or been told about a target.
+    """What this proxy measured or received about a target.
 
     Args:
         running: Requests of this proxy that are in flight to it.
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -687,7 +687,7 @@
         self.pending.drop(call_id)
         live = self.live.get(call_id)
         if live is not None:
-            self._abandon(live)
+            self._cancel_attempt(live)
             if live.request_id:
                 self.balancer.note_cancelled(live.endpoint.key)
             self._drop(live)
@@ -707,7 +707,7 @@
             if self._wants_hedge(live, now_ms, now_us):
                 self._hedge(live, now_ms, now_us)
         for live in late:
-            self._abandon(live)
+            self._cancel_attempt(live)
             if live.request_id:
                 self.balancer.timed_out(live.endpoint.key, now_ms)
                 self._observe_failure(live, now_ms, now_us)
@@ -715,7 +715,7 @@
             self._finish_lost(live, 504, "the deadline has passed")
         return self._flush()
 
-    def _abandon(self, live: live_calls.LiveCall) -> None:
+    def _cancel_attempt(self, live: live_calls.LiveCall) -> None:
         """Cancel the request at the target's proxy, or drop the claim."""
         if live.request_id in self.by_request:
             self._send_cancel(live.request_id, live.endpoint)
--- a/libs/requests/src/trefoil_requests/observing.py
+++ b/libs/requests/src/trefoil_requests/observing.py
@@ -53,18 +53,18 @@
 ) -> list[effects.Observe]:
     """Return the observation of a first attempt that its hedge overtook.
 
-    It counts with the time that it has taken so far. Without it, a slow
-    version would be observed only by its fast answers.
+    Its latency is the time since it was sent. Without this observation, a
+    slow version would be measured only by its fast answers.
     """
-    other = live.hedge
-    if other is None or other.request_id != live.first_request_id:
+    first = live.hedge
+    if first is None or first.request_id != live.first_request_id:
         return []
-    waited_us = now_us - other.sent_us
+    waited_us = now_us - first.sent_us
     return [
         _observed(
             endpoints,
             live,
-            other,
+            first,
             latency_us=waited_us,
             run_us=waited_us,
             failed=False,
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -45,9 +45,9 @@
         "endpoints",
         "balancer",
         "halted",
-        "route_means",
-        "route_bytes",
-        "service_means",
+        "route_mean_us",
+        "route_mean_bytes",
+        "service_mean_us",
     )
 
     def __init__(self, host: str, domain: str, rng: random.Random) -> None:
@@ -56,15 +56,15 @@
         self.endpoints = routing.Endpoints()
         self.balancer = balancers.Balancer(domain, rng, host)
         self.halted: dict[str, frozenset[str]] = {}
-        self.route_means: dict[str, float] = {}
-        self.route_bytes: dict[str, float] = {}
-        self.service_means: dict[str, float] = {}
+        self.route_mean_us: dict[str, float] = {}
+        self.route_mean_bytes: dict[str, float] = {}
+        self.service_mean_us: dict[str, float] = {}
 
     def put_in_force(self, table: routing.RouteTable) -> None:
         """Switch to a new configuration and drop data of removed routes."""
         self.table = table
         names = {route.name for route in table.routes}
-        for means in (self.route_means, self.route_bytes):
+        for means in (self.route_mean_us, self.route_mean_bytes):
             for name in [n for n in means if n not in names]:
                 del means[name]
 
@@ -77,7 +77,7 @@
 
     def usual_us(self, route: messages.Route) -> float:
         """Return the usual run time of a route's requests, 0 if unknown."""
-        return self.route_means.get(route.name, 0.0)
+        return self.route_mean_us.get(route.name, 0.0)
 
     def place(
         self, live: live_calls.LiveCall, now_ms: int
@@ -158,8 +158,8 @@
 
         If all targets of the drawn version are unavailable or shedding,
         callers still get an answer from another version with a share. While a
-        move runs, the new version replaces the old one only if that has no
-        target at all.
+        move runs, the new version serves the old one's calls only if the old
+        one has no target at all.
         """
         service = live.service
         if self.table is None or service not in self.table.shares:
@@ -214,12 +214,12 @@
         )
 
     def _crossing_cost(self, route: messages.Route) -> float:
-        """Return the cross-domain cost of a call, in timely answers."""
+        """Return a call's cross-domain cost, in units of a timely answer."""
         return crossing.cost(self._mean_kib(route))
 
     def _mean_kib(self, route: messages.Route) -> float:
         """Return the mean KiB that a route's calls and answers carry."""
-        return self.route_bytes.get(route.name, 0.0) / 1024
+        return self.route_mean_bytes.get(route.name, 0.0) / 1024
 
     def note_answered(
         self,
@@ -234,15 +234,19 @@
         scaling, a target that got two long requests would look slow.
         """
         self._update_mean(
-            self.route_bytes, live.route.name, _carried_bytes(live, answer)
+            self.route_mean_bytes,
+            live.route.name,
+            _carried_bytes(live, answer),
         )
         failed = answer.unusable or answer.status >= MIN_TARGET_FAULT_STATUS
         self.balancer.note_outcome(live.endpoint.key, failed, now_ms)
         took_us = answer.service_us or latency_us
         route_us = self._update_mean(
-            self.route_means, live.route.name, took_us
+            self.route_mean_us, live.route.name, took_us
+        )
+        mean_us = self._update_mean(
+            self.service_mean_us, live.service, took_us
         )
-        mean_us = self._update_mean(self.service_means, live.service, took_us)
         self.balancer.answered(
             live.endpoint.key,
             took_us * mean_us / max(route_us, 1.0),
@@ -252,10 +256,10 @@
         )
 
     def _update_mean(
-        self, means: dict[str, float], name: str, took_us: float
+        self, means: dict[str, float], name: str, value: float
     ) -> float:
-        mean = means.get(name, float(took_us))
-        mean += MEAN_WEIGHT * (took_us - mean)
+        mean = means.get(name, float(value))
+        mean += MEAN_WEIGHT * (value - mean)
         means[name] = mean
         return mean
 
--- a/libs/requests/src/trefoil_requests/quarantine.py
+++ b/libs/requests/src/trefoil_requests/quarantine.py
@@ -63,8 +63,10 @@
                 self.marks.pop(fingerprint, None)
             return True
         sole = len(notice.fingerprints) == 1
-        lasts_ms = SOLE_SUSPECT_MS if sole else SHARED_SUSPECT_MS
-        mark = CrashMark(notice.notice_id, now_ms + lasts_ms - notice.age_ms)
+        duration_ms = SOLE_SUSPECT_MS if sole else SHARED_SUSPECT_MS
+        mark = CrashMark(
+            notice.notice_id, now_ms + duration_ms - notice.age_ms
+        )
         for fingerprint in notice.fingerprints:
             self.marks.setdefault(fingerprint, []).append(mark)
         while len(self.marks) > MAX_MARKS:
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -270,7 +270,7 @@
         """Take how much longer a target is cold, as it was asked."""
         target = self.targets.get(name)
         if target is not None:
-            target.slots.warmup.tell(left_ms, now_ms)
+            target.slots.warmup.set_remaining(left_ms, now_ms)
 
     def _give_back(self, name: str, reason: str, now_ms: int) -> None:
         """Refuse what waits at a target for a slot or for its body.
--- a/libs/requests/src/trefoil_requests/warmup.py
+++ b/libs/requests/src/trefoil_requests/warmup.py
@@ -64,22 +64,28 @@
         limit: Its rate limit while it is cold; None for no limit.
     """
 
-    __slots__ = ("limit", "until_ms", "presumed", "tokens", "at_ms")
+    __slots__ = (
+        "limit",
+        "cold_until_ms",
+        "presumed",
+        "tokens",
+        "refilled_at_ms",
+    )
 
     def __init__(self, limit: Limit | None) -> None:
         self.limit = limit
-        self.until_ms = 0
+        self.cold_until_ms = 0
         self.presumed = False
         self.tokens = 0.0
-        self.at_ms = 0
+        self.refilled_at_ms = 0
 
     def is_cold(self, now_ms: int) -> bool:
         """Tell whether the target is cold, or may be."""
-        return now_ms < self.until_ms
+        return now_ms < self.cold_until_ms
 
     def is_limited(self, now_ms: int) -> bool:
         """Tell whether the rate limit applies to the target now."""
-        return self.limit is not None and now_ms < self.until_ms
+        return self.limit is not None and now_ms < self.cold_until_ms
 
     def announce(self, left_ms: int, now_ms: int) -> None:
         """Record the remaining warm-up that the target announced.
@@ -88,23 +94,23 @@
         cold, so it is ignored while the target is presumed cold.
         """
         if left_ms or not (self.presumed and self.is_cold(now_ms)):
-            self.tell(left_ms, now_ms)
+            self.set_remaining(left_ms, now_ms)
 
-    def tell(self, left_ms: int, now_ms: int) -> None:
-        """Record the remaining warm-up that the target returned when asked."""
+    def set_remaining(self, left_ms: int, now_ms: int) -> None:
+        """Set the remaining warm-up, as the target returned it on request."""
         self.presumed = False
         if not left_ms:
-            self.until_ms = min(self.until_ms, now_ms)
+            self.cold_until_ms = min(self.cold_until_ms, now_ms)
             return
         if not self.is_cold(now_ms):
             self.tokens = 0.0
-            self.at_ms = now_ms
-        self.until_ms = now_ms + left_ms + MARGIN_MS
+            self.refilled_at_ms = now_ms
+        self.cold_until_ms = now_ms + left_ms + MARGIN_MS
 
     def presume(self, now_ms: int) -> None:
         """Presume that the target is cold until it reports its warm-up."""
         if self.limit is not None:
-            self.tell(self.limit.lasts_ms, now_ms)
+            self.set_remaining(self.limit.lasts_ms, now_ms)
             self.presumed = True
 
     def may_start(self, now_ms: int) -> bool:
@@ -125,12 +131,12 @@
         """
         if not self.is_limited(now_ms):
             return 0.0
-        lacking = ahead + 1 - self._refill(now_ms)
-        paced_ms = max(lacking, 0.0) * 1000 / self.limit.per_s
-        return min(paced_ms, float(self.until_ms - now_ms))
+        missing_tokens = ahead + 1 - self._refill(now_ms)
+        refill_ms = max(missing_tokens, 0.0) * 1000 / self.limit.per_s
+        return min(refill_ms, float(self.cold_until_ms - now_ms))
 
     def _refill(self, now_ms: int) -> float:
-        gained = (now_ms - self.at_ms) * self.limit.per_s / 1000
-        self.tokens = min(self.tokens + gained, self.limit.burst)
-        self.at_ms = now_ms
+        new_tokens = (now_ms - self.refilled_at_ms) * self.limit.per_s / 1000
+        self.tokens = min(self.tokens + new_tokens, self.limit.burst)
+        self.refilled_at_ms = now_ms
         return self.tokens
--- a/libs/requests/tests/test_attribution.py
+++ b/libs/requests/tests/test_attribution.py
@@ -109,7 +109,7 @@
 
 
 def test_hosts_are_counted_by_their_services() -> None:
-    senders = attribution.hosts_by_services(
+    host_counts = attribution.hosts_by_services(
         [["b", "a"], ["a", "b"], [], ["a"]]
     )
-    assert senders == {"a,b": 2, "": 1, "a": 1}
+    assert host_counts == {"a,b": 2, "": 1, "a": 1}
--- a/libs/requests/tests/test_balancer.py
+++ b/libs/requests/tests/test_balancer.py
@@ -16,7 +16,7 @@
 NOW_MS = 100_000
 
 
-def endpoint(host: str, domain: str = "near") -> routing.Endpoint:
+def endpoint(host: str, domain: str = "local") -> routing.Endpoint:
     target = messages.TargetRecord(
         "t", "s", "v1", [], 4, messages.TargetState.READY
     )
@@ -41,12 +41,12 @@
 
 
 def balancer() -> balancers.Balancer:
-    return balancers.Balancer("near", random.Random(1))
+    return balancers.Balancer("local", random.Random(1))
 
 
 def test_the_local_domain_is_preferred_while_it_can_serve() -> None:
     target_balancer = balancer()
-    both = [endpoint("a"), endpoint("b", "far")]
+    both = [endpoint("a"), endpoint("b", "remote")]
     assert picks(target_balancer, both) == {"a": 400}
     for _ in range(4):
         target_balancer.started("a/t")
@@ -133,7 +133,7 @@
 def test_a_reported_load_counts() -> None:
     """Guards against sending to a local target that other proxies fill."""
     target_balancer = balancer()
-    both = [endpoint("a"), endpoint("b", "far")]
+    both = [endpoint("a"), endpoint("b", "remote")]
     for name in "ab":
         target_balancer.started(f"{name}/t")
     target_balancer.answered("a/t", 20_000, load=9, now_ms=NOW_MS)
@@ -144,7 +144,7 @@
 def test_cross_domain_bytes_keep_a_call_local() -> None:
     """The remote target is a third faster, but the bytes cost more."""
     target_balancer = balancer()
-    both = [endpoint("a"), endpoint("b", "far")]
+    both = [endpoint("a"), endpoint("b", "remote")]
     for name, took_us in (("a", 150_000), ("b", 100_000)):
         target_balancer.started(f"{name}/t")
         target_balancer.answered(f"{name}/t", took_us)
--- a/libs/requests/tests/test_overload.py
+++ b/libs/requests/tests/test_overload.py
@@ -118,9 +118,9 @@
         took_ms = now_ms - caller.first_sent_ms
         self.in_time += took_ms <= LATENCY_TARGET_MS
         self.late += LATENCY_TARGET_MS < took_ms <= CALLER_TIMEOUT_MS
-        next_number = self.gate.next_admitted(int(now_ms))
-        if next_number is not None:
-            self._start(next_number, now_ms)
+        next_call_id = self.gate.next_admitted(int(now_ms))
+        if next_call_id is not None:
+            self._start(next_call_id, now_ms)
 
     def _refuse(self, call_id: int, now_ms: float, wait_ms: float) -> None:
         caller = self.waiting.pop(call_id)
--- a/libs/requests/tests/test_warmup.py
+++ b/libs/requests/tests/test_warmup.py
@@ -114,7 +114,7 @@
         """Let the target return its remaining warm-up when asked."""
         if self.cold:
             left_ms = max(until for _, until in self.cold) - self.now_ms
-            self.gate.warmup.tell(max(left_ms, 0), self.now_ms)
+            self.gate.warmup.set_remaining(max(left_ms, 0), self.now_ms)
 
     @stateful.invariant()
     def no_second_has_too_many(self) -> None:
