--- a/libs/requests/src/trefoil_requests/attribution.py
+++ b/libs/requests/src/trefoil_requests/attribution.py
@@ -32,7 +32,8 @@
 
     Callers send to all hosts alike, while targets' calls enter only at the
     hosts of those targets. The difference in requests per host gives the
-    share of a route's requests that are calls.
+    share of a route's requests that are calls. ``hosts`` holds the number of
+    hosts for each key of services.
     """
 
     __slots__ = ("hosts", "counts")
@@ -75,15 +76,18 @@
             offsets targets to which they send less.
         """
         counts = self.counts.get(route, {})
-        same = self.hosts.get(services, 0)
-        elsewhere = sum(self.hosts.values()) - same
-        own = counts.get(services, 0.0)
-        if not elsewhere:
+        same_hosts = self.hosts.get(services, 0)
+        other_hosts = sum(self.hosts.values()) - same_hosts
+        own_requests = counts.get(services, 0.0)
+        if not other_hosts:
             return 0.0
-        if not own or not same:
+        if not own_requests or not same_hosts:
             return 1.0
-        others = sum(counts.values()) - own
-        return max(1 - (others / elsewhere) / (own / same), -1.0)
+        other_requests = sum(counts.values()) - own_requests
+        return max(
+            1 - (other_requests / other_hosts) / (own_requests / same_hosts),
+            -1.0,
+        )
 
 
 class Run(typing.Protocol):
@@ -126,9 +130,9 @@
 
     def ended(self, run: Run) -> None:
         """Update the calls per run of a route with a run that ended."""
-        known = self.calls_of.get(run.route, DEFAULT_CALLS)
-        known += CALLS_WEIGHT * (run.calls - known)
-        self.calls_of[run.route] = known
+        average = self.calls_of.get(run.route, DEFAULT_CALLS)
+        average += CALLS_WEIGHT * (run.calls - average)
+        self.calls_of[run.route] = average
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
         """Drop the routes that were removed."""
@@ -159,8 +163,8 @@
         if permille is None or permille < MIN_PERMILLE:
             return
         share = permille / 1000
-        known = self.shares.get(route, share)
-        self.shares[route] = known + REPORT_WEIGHT * (share - known)
+        average = self.shares.get(route, share)
+        self.shares[route] = average + REPORT_WEIGHT * (share - average)
 
     def keep_only(self, routes: collections.abc.Container[str]) -> None:
         """Drop the routes that were removed."""
--- a/libs/requests/src/trefoil_requests/quarantine.py
+++ b/libs/requests/src/trefoil_requests/quarantine.py
@@ -31,23 +31,23 @@
     and marks from such a crash expire sooner. The cause never succeeds.
     """
 
-    __slots__ = ("marks", "seen")
+    __slots__ = ("marks", "seen_notices")
 
     def __init__(self) -> None:
         self.marks: dict[int, list[CrashMark]] = {}
-        self.seen: dict[int, int] = {}
+        self.seen_notices: dict[int, int] = {}
 
     def crashes(self, fingerprint: int, now_ms: int) -> int:
         """Return the number of crashes during which a request was running."""
         marks = self.marks.get(fingerprint)
         if not marks:
             return 0
-        live = [mark for mark in marks if mark.until_ms > now_ms]
-        if live:
-            self.marks[fingerprint] = live
+        current = [mark for mark in marks if mark.until_ms > now_ms]
+        if current:
+            self.marks[fingerprint] = current
         else:
             del self.marks[fingerprint]
-        return len(live)
+        return len(current)
 
     def refuses(self, fingerprint: int, now_ms: int) -> bool:
         """Tell whether a request must not run again."""
@@ -55,7 +55,7 @@
 
     def hear(self, notice: messages.CrashNotice, now_ms: int) -> bool:
         """Apply a notice; return whether it is new and has to be forwarded."""
-        if notice.notice_id in self.seen:
+        if notice.notice_id in self.seen_notices:
             return False
         self._remember(notice.notice_id, now_ms)
         if notice.cleared:
@@ -88,6 +88,6 @@
         )
 
     def _remember(self, notice_id: int, now_ms: int) -> None:
-        self.seen[notice_id] = now_ms
-        while len(self.seen) > MAX_MARKS:
-            del self.seen[next(iter(self.seen))]
+        self.seen_notices[notice_id] = now_ms
+        while len(self.seen_notices) > MAX_MARKS:
+            del self.seen_notices[next(iter(self.seen_notices))]
--- a/libs/requests/tests/test_attribution.py
+++ b/libs/requests/tests/test_attribution.py
@@ -41,6 +41,7 @@
 def test_calls_come_only_from_the_hosts_whose_targets_make_them(
     front: int, back: int, share: float
 ) -> None:
+    """The share follows from the requests per host with each service."""
     senders = origins(front, back)
     assert senders.call_share("r", "front") == pytest.approx(share)
 
@@ -63,6 +64,7 @@
 
 
 def test_a_call_is_divided_among_the_runs_that_may_have_made_it() -> None:
+    """Each run's part is weighted by the usual calls per run of its route."""
     parents = attribution.Parents({"calls": 1.0, "quiet": 0.0})
     runs = [Run("calls"), Run("calls", repeat=1.0), Run("quiet", repeat=1.0)]
     assert parents.repeat_share(runs, 1.0) == pytest.approx(0.5)
@@ -88,6 +90,7 @@
 
 
 def test_reports_of_several_targets_are_averaged() -> None:
+    """Targets see different mixes of hosts; invalid reports are ignored."""
     call_shares = attribution.CallShares()
     assert call_shares.share("r") == 1.0
     for _ in range(30):
--- a/libs/requests/tests/test_budget.py
+++ b/libs/requests/tests/test_budget.py
@@ -82,7 +82,10 @@
 
 
 def test_late_repeats_still_occupy_the_reserve() -> None:
-    """Repeats wait while others are paid, then all arrive at once."""
+    """Repeats wait for a slot while others are paid, then arrive together.
+
+    Without their place in the reserve, a window would exceed the budget.
+    """
     retry_budget = budget.RetryBudget(RATIO, reserve=3)
     late = 0
     for _ in range(100):
@@ -101,6 +104,7 @@
 
 
 def test_a_call_pays_and_earns_by_its_repeat_probability() -> None:
+    """Guards against calls of repeated runs that earn further retries."""
     retry_budget = budget.RetryBudget(RATIO, reserve=3)
     for _ in range(5):
         retry_budget.deposit()
