--- a/libs/requests/src/trefoil_requests/accounts.py
+++ b/libs/requests/src/trefoil_requests/accounts.py
@@ -5,7 +5,7 @@
 from trefoil_wire import messages
 
 from . import budget
-from . import live as lives
+from . import live as live_calls
 
 
 class RetryBudgets:
@@ -20,7 +20,7 @@
     __slots__ = ("budgets", "max_ratio", "reserve")
 
     def __init__(
-        self, max_ratio: float = 1.0, reserve: float = budget.RESERVE
+        self, max_ratio: float = 1.0, reserve: float = budget.DEFAULT_RESERVE
     ) -> None:
         self.budgets: dict[str, budget.RetryBudget] = {}
         self.max_ratio = max_ratio
@@ -51,7 +51,7 @@
         """
         self.reserve = reserve
         for service_budget in self.budgets.values():
-            service_budget.limit(reserve)
+            service_budget.set_reserve(reserve)
 
     def has_budget(self, service: str) -> bool:
         """Tell whether a service has a budget.
@@ -65,7 +65,7 @@
         """Return how many repeats the budget of a service allows now."""
         return self.budgets[service].tokens
 
-    def deposit(self, live: lives.Live) -> None:
+    def deposit(self, live: live_calls.LiveCall) -> None:
         """Credit the budget of a service for a new request.
 
         If the request may be a call of a repeat, the budget is charged by
@@ -78,12 +78,12 @@
         service_budget = self.budgets.get(service)
         return service_budget is not None and service_budget.withdraw(cause)
 
-    def give_back(self, live: lives.Live) -> None:
+    def refund(self, live: live_calls.LiveCall) -> None:
         """Refund the charge for a repeat for which there was no target."""
         service_budget = self.budgets.get(live.service)
         if live.paid and service_budget is not None:
             live.paid = False
-            service_budget.give_back()
+            service_budget.refund()
 
     def arrived(self, service: str) -> None:
         """Record that a repeat reached its target, or that it never will."""
@@ -91,7 +91,7 @@
         if service_budget is not None:
             service_budget.arrived()
 
-    def end(self, live: lives.Live) -> None:
+    def end(self, live: live_calls.LiveCall) -> None:
         """Record the end of an attempt, if it was charged as a repeat.
 
         Of two parallel attempts, the one that arrives last counts as the
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -1,8 +1,8 @@
-"""The entry core: a caller's request from its first byte to its answer.
+"""The entry core: handles a caller's request until its final answer.
 
-It chooses the route, version and target, claims the key of a once-only
-request, retries where that is safe, and gives every call exactly one final
-answer. It does no input or output.
+It chooses the route, version and target, claims the idempotency key of a
+once-only request, retries where that is safe, and gives every call exactly one
+final answer. It performs no input or output itself.
 """
 
 import random
@@ -18,42 +18,42 @@
 from . import bodies
 from . import budget
 from . import call as calls
-from . import early as earlies
 from . import effects
 from . import ledger as ledgers
-from . import live as lives
+from . import live as live_calls
 from . import observing
 from . import patience as originals
-from . import placing as placings
+from . import pending as pending_calls
+from . import placing as placements
 from . import quarantine as quarantines
 from . import routing
 
-# A safe request that takes this many times what its route usually does is
-# asked for once more elsewhere: its answer is probably lost, or its target
-# slow. One in thirty does so on a calm day.
+# A safe request that takes this many times its route's usual run time is sent
+# to a second target: its answer is probably lost, or its target slow. In
+# normal operation this applies to one request in thirty.
 HEDGE_FACTOR = 3.0
-LEAST_HEDGE_US = 50_000
-# Refusals of targets' proxies cost no run and no retry budget, but each
-# costs its caller a round trip.
+MIN_HEDGE_WAIT_US = 50_000
+# Refusals by targets' proxies cost no run and no retry budget, but each costs
+# its caller a round trip.
 MAX_PLACEMENTS = 5
-COME_BACK_MS = 1000
-NO_TARGET_MS = 100
-FIRST_FAILED_STATUS = 400
-RAN_UNKNOWN = "it is not known whether the request ran"
+RETRY_AFTER_MS = 1000
+NO_TARGET_RETRY_AFTER_MS = 100
+MIN_FAILED_STATUS = 400
+OUTCOME_UNKNOWN = "it is unknown whether the request ran"
 
 
 class LocalTargets(typing.Protocol):
-    """What the entry core needs to know of the targets beside it."""
+    """The local targets, as far as the entry core uses them."""
 
     @property
     def services_key(self) -> str:
-        """Return what names their services."""
+        """Return the key of their set of services."""
 
-    def repeat_share(self, part: float) -> float:
-        """Return how likely a request that comes now is a repeat's call.
+    def repeat_share(self, share: float) -> float:
+        """Return the probability that a new request is a repeat's call.
 
         Args:
-            part: How likely it is a call at all.
+            share: Probability that it is a call at all.
         """
 
 
@@ -61,39 +61,39 @@
     """The entry core of one proxy.
 
     Args:
-        me: Name of this host.
+        local_host: Name of this host.
         domain: Its failure domain.
-        ledger: The keys that this host keeps; its keeper sets tell who
-            keeps which key.
+        ledger: This host's replica of the idempotency keys; its keeper sets
+            name the hosts that keep a key.
         quarantine: Requests known to crash targets.
-        targets: The targets beside, which send their calls here.
+        targets: The targets on this host, which send their calls here.
         rng: Draws versions, targets and ids.
     """
 
     __slots__ = (
-        "me",
+        "local_host",
         "domain",
         "targets",
-        "called",
+        "call_shares",
         "ledger",
         "quarantine",
         "rng",
         "original_deadlines",
-        "placing",
+        "placement",
         "balancer",
         "accounting",
         "claims",
         "live",
-        "early",
+        "pending",
         "by_request",
         "draining",
-        "ids",
+        "last_id",
         "out",
     )
 
     def __init__(
         self,
-        me: str,
+        local_host: str,
         domain: str,
         *,
         ledger: ledgers.Ledger,
@@ -101,50 +101,50 @@
         targets: LocalTargets,
         rng: random.Random,
     ) -> None:
-        self.me = me
+        self.local_host = local_host
         self.domain = domain
         self.targets = targets
-        self.called = attribution.Called()
+        self.call_shares = attribution.CallShares()
         self.ledger = ledger
         self.quarantine = quarantine
         self.rng = rng
         self.original_deadlines = originals.OriginalDeadlines()
-        self.placing = placings.Placing(me, domain, rng)
-        self.balancer = self.placing.balancer
+        self.placement = placements.Placement(local_host, domain, rng)
+        self.balancer = self.placement.balancer
         self.accounting = accounting.RetryBudgets()
         self.claims = ledgers.Claims()
-        self.live: dict[int, lives.Live] = {}
-        self.early = earlies.Early()
+        self.live: dict[int, live_calls.LiveCall] = {}
+        self.pending = pending_calls.PendingCalls()
         self.by_request: dict[int, int] = {}
         self.draining = False
-        self.ids = rng.getrandbits(61)
+        self.last_id = rng.getrandbits(61)
         self.out: list[typing.Any] = []
 
     # Configuration and fleet
 
     def put_in_force(self, table: routing.RouteTable) -> None:
-        """Route by a new configuration from now on, in one step."""
-        self.placing.put_in_force(table)
+        """Switch to a new configuration in one step."""
+        self.placement.put_in_force(table)
         names = {route.name for route in table.routes}
         self.original_deadlines.keep_only(names)
-        self.called.keep_only(names)
+        self.call_shares.keep_only(names)
         self.accounting.put_in_force(table.services)
 
     def records_changed(
         self, records: record_store.Records, now_ms: int
     ) -> None:
-        """Take in the hosts' records."""
-        self.placing.records_changed(records, now_ms)
-        self.ledger.sets.update(self.placing.endpoints.hosts_of, now_ms)
+        """Update endpoints and keeper sets from the hosts' records."""
+        self.placement.records_changed(records, now_ms)
+        self.ledger.sets.update(self.placement.endpoints.hosts_of, now_ms)
 
-    # A call's life
+    # Life cycle of a call
 
     def start(
         self, call: calls.Call, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Take a caller's request."""
-        if self.placing.table is None and not self.draining:
-            if self.early.hold(call, now_ms):
+        """Start a caller's request."""
+        if self.placement.table is None and not self.draining:
+            if self.pending.hold(call, now_ms):
                 return []
         route = self._route_or_refuse(call)
         if route is None:
@@ -156,7 +156,7 @@
         waited_ms = self.original_deadlines.waited_ms(
             route.name, call.deadline_ms
         )
-        live = lives.Live(
+        live = live_calls.LiveCall(
             call=call,
             route=route,
             fingerprint=call.fingerprint(),
@@ -169,38 +169,40 @@
         if self.quarantine.refuses(live.fingerprint, now_ms):
             self._finish_quarantined(live)
             return self._flush()
-        self._open_account(live)
+        self._add_to_budget(live)
         if route.repeat == messages.Repeat.ONCE and call.key:
             self._claim(live, now_ms)
         else:
             self._attempt(live, now_ms, now_us)
         return self._flush()
 
-    def _open_account(self, live: lives.Live) -> None:
-        """Settle how likely a request is a repeat's call, and book it."""
+    def _add_to_budget(self, live: live_calls.LiveCall) -> None:
+        """Estimate if a request is a repeat's call, and account for it."""
         if live.call.retried:
             live.repeat = 1.0
         else:
-            part = self.called.part(live.route.name)
-            live.repeat = self.targets.repeat_share(part) if part else 0.0
+            share = self.call_shares.share(live.route.name)
+            live.repeat = self.targets.repeat_share(share) if share else 0.0
         self.accounting.deposit(live)
 
-    def start_early(self, now_ms: int, now_us: int) -> list[typing.Any]:
-        """Take the requests that came before there was a configuration."""
-        found = []
-        for call in self.early.release(now_ms):
-            found.extend(self.start(call, now_ms, now_us))
-        return found
+    def start_pending(self, now_ms: int, now_us: int) -> list[typing.Any]:
+        """Start the calls that were buffered before a configuration."""
+        released = []
+        for call in self.pending.release(now_ms):
+            released.extend(self.start(call, now_ms, now_us))
+        return released
 
     def _route_or_refuse(self, call: calls.Call) -> messages.Route | None:
         if self.draining:
-            self._refuse(call, 503, "this proxy is leaving")
+            self._refuse(call, 503, "this proxy is shutting down")
             return None
-        if self.placing.table is None:
+        if self.placement.table is None:
             self._refuse(call, 503, "no configuration is in force yet")
             return None
         try:
-            return self.placing.table.match(call.host, call.path, call.method)
+            return self.placement.table.match(
+                call.host, call.path, call.method
+            )
         except errors.ProtocolError as error:
             self._refuse(call, error.status, error.reason)
             return None
@@ -212,12 +214,12 @@
                     call.call_id,
                     status,
                     reason,
-                    retry_after_ms=COME_BACK_MS if status == 503 else 0,
+                    retry_after_ms=RETRY_AFTER_MS if status == 503 else 0,
                 )
             )
         )
 
-    def _claim(self, live: lives.Live, now_ms: int) -> None:
+    def _claim(self, live: live_calls.LiveCall, now_ms: int) -> None:
         service = live.service
         issued_ms = ledgers.issued_ms_of(live.call.key)
         key = ledgers.key_of(service, live.call.key)
@@ -230,21 +232,23 @@
             issued_ms=issued_ms,
         )
         live.claim = claim
-        self._take_claims(
+        self._apply_claim_results(
             self.claims.begin(live.call.call_id, claim, now_ms), now_ms, 0
         )
 
     def on_claim_reply(
         self, reply: messages.ClaimReply, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Take a keeper's reply."""
-        self._take_claims(self.claims.receive_reply(reply), now_ms, now_us)
+        """Handle the reply of a host that keeps an idempotency key."""
+        self._apply_claim_results(
+            self.claims.receive_reply(reply), now_ms, now_us
+        )
         return self._flush()
 
-    def _take_claims(
-        self, found: list[typing.Any], now_ms: int, now_us: int
+    def _apply_claim_results(
+        self, results: list[typing.Any], now_ms: int, now_us: int
     ) -> None:
-        for item in found:
+        for item in results:
             match item:
                 case ledgers.ClaimGranted():
                     live = self.live.get(item.call_id)
@@ -257,18 +261,20 @@
                 case _:
                     self.out.append(item)
 
-    def _attempt(self, live: lives.Live, now_ms: int, now_us: int) -> None:
-        """Send a call to a target, or answer that none can take it."""
-        endpoint = self.placing.choose_and_settle(live, now_ms)
+    def _attempt(
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
+    ) -> None:
+        """Send a call to a target, or refuse it if none can take it."""
+        endpoint = self.placement.place(live, now_ms)
         if endpoint is None:
-            self.accounting.give_back(live)
+            self.accounting.refund(live)
             self._finish_no_target(live)
             return
         self._send_to(live, endpoint, now_ms, now_us)
 
     def _send_to(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         endpoint: routing.Endpoint,
         now_ms: int,
         now_us: int,
@@ -281,20 +287,22 @@
         live.tried.add(endpoint.key)
         live.request_id = self._next_id()
         if live.attempts == 1:
-            live.first_id = live.request_id
+            live.first_request_id = live.request_id
         live.sent_us = now_us
         self.by_request[live.request_id] = live.call.call_id
         self.balancer.started(endpoint.key)
         body = live.call.body
-        waits = endpoint.host != self.me and bodies.is_large(body)
+        body_follows = endpoint.host != self.local_host and bodies.is_large(
+            body
+        )
         request = messages.Request(
             request_id=live.request_id,
             route=route.name,
             method=live.call.method,
             path=live.call.path,
             headers=live.call.headers,
-            body=b"" if waits else body,
-            body_bytes=len(body) if waits else 0,
+            body=b"" if body_follows else body,
+            body_bytes=len(body) if body_follows else 0,
             deadline_ms=max(live.deadline_at_ms - now_ms, 1),
             target=endpoint.target.name,
             crashes=live.crashes,
@@ -304,7 +312,7 @@
             priority=route.priority or 0,
             caller_id=live.call.caller_id,
             aim_ms=max(live.aim_at_ms - now_ms, 1),
-            settled=live.settled,
+            settled=live.may_queue,
             services_key=self.targets.services_key,
             repeat_permille=_repeat_permille(live),
         )
@@ -313,36 +321,36 @@
         )
 
     def on_body_pull(self, pull: messages.BodyPull) -> list[typing.Any]:
-        """Send a piece of a body to the target's proxy that asks for it."""
+        """Send a chunk of a body to the target's proxy that pulls it."""
         live = self.live.get(self.by_request.get(pull.request_id, -1))
         attempt = live.attempt_of(pull.request_id) if live else None
         if attempt is None:
-            # The request was given up; the cancellation is on its way.
+            # The request was cancelled; the target's proxy will be notified.
             return []
         end = pull.offset + pull.length
-        piece = messages.BodyPiece(
+        chunk = messages.BodyPiece(
             pull.request_id, pull.offset, live.call.body[pull.offset : end]
         )
         endpoint = attempt.endpoint
-        return [effects.Tell(endpoint.host, endpoint.address, piece)]
+        return [effects.Send(endpoint.host, endpoint.address, chunk)]
 
     # Answers
 
     def on_answer(
         self, answer: messages.Answer, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Take an answer; one that is late or unknown is dropped.
+        """Handle an answer; one that is late or unknown is dropped.
 
-        Each attempt has its own id, so an answer that crossed with a retry
-        or came after the deadline can't be given to another call.
+        Each attempt has its own id, so an answer that arrives after a retry
+        or after the deadline can't be matched to another call.
         """
         live = self._take_attempt(answer.request_id)
         if live is None:
             return self._flush()
         self._note_links(live, answer, now_ms, now_us)
-        self.called.told(live.route.name, answer.called_permille)
+        self.call_shares.add_report(live.route.name, answer.called_permille)
         unserved = not answer.ran or answer.crashed or answer.unusable
-        if unserved and self._fall_back(live, answer, now_ms):
+        if unserved and self._await_other_attempt(live, answer, now_ms):
             return self._flush()
         if not answer.ran:
             self._on_refused(live, answer, now_ms, now_us)
@@ -356,7 +364,7 @@
 
     def _note_links(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
@@ -365,31 +373,31 @@
         self.balancer.note_links(
             live.endpoint.key,
             body_wait_ms=answer.body_wait_ms or 0,
-            way_us=max(now_us - live.sent_us - held_us, 0),
+            transit_us=max(now_us - live.sent_us - held_us, 0),
             now_ms=now_ms,
         )
 
     def _on_served(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
     ) -> None:
         latency_us = now_us - live.sent_us
-        self.placing.note_answered(live, answer, latency_us, now_ms)
-        failed = answer.status >= FIRST_FAILED_STATUS
+        self.placement.note_answered(live, answer, latency_us, now_ms)
+        failed = answer.status >= MIN_FAILED_STATUS
         run_us = answer.service_us or latency_us
         self._observe(live, latency_us, run_us, failed, now_ms)
         self.out.extend(
-            observing.overtaken(self.placing.endpoints, live, now_ms, now_us)
+            observing.overtaken(self.placement.endpoints, live, now_ms, now_us)
         )
         if not failed:
             notice = self.quarantine.succeeded(
                 live.fingerprint, self._next_id()
             )
             if notice is not None:
-                self.out.append(effects.Flood(notice))
+                self.out.append(effects.BroadcastNotice(notice))
         if live.claim is not None:
             self.out.extend(ledgers.store_answer(live.claim, answer))
             live.claim = None
@@ -400,19 +408,19 @@
 
     def _on_refused(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
     ) -> None:
-        """Go elsewhere: the target's proxy says that it did not run."""
+        """Try another target: the request did not run at this one."""
         load = -1 if answer.load is None else answer.load
         wait_ms = 0 if answer.full else answer.retry_after_ms
         if answer.shed:
-            self.balancer.judged(live.endpoint.key, True, now_ms)
+            self.balancer.note_outcome(live.endpoint.key, True, now_ms)
         self.balancer.refused(live.endpoint.key, now_ms, wait_ms, load)
-        if answer.full and not live.settled:
-            live.bounced.add(live.endpoint.key)
+        if answer.full and not live.may_queue:
+            live.full_targets.add(live.endpoint.key)
             live.tried.discard(live.endpoint.key)
         live.retry_after_ms = max(live.retry_after_ms, answer.retry_after_ms)
         if answer.status == 422:
@@ -424,7 +432,7 @@
 
     def _on_crashed(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
@@ -433,39 +441,47 @@
         self._observe_failure(live, now_ms, now_us)
         live.may_have_run = True
         live.crashes += 1
-        # A request that ran alone in the crash is the likely cause: sending
-        # it on would take a second target down.
-        again = live.may_repeat and not answer.sole and live.crashes < 2
-        if again and self._may_retry(live, budget.Cause.BROKEN, now_ms):
+        # If it was the only request that ran, it probably caused the crash and
+        # would crash a second target.
+        repeatable = live.may_repeat and not answer.sole and live.crashes < 2
+        if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
-            self._finish_lost(live, 502, "the target broke off")
+            self._finish_lost(
+                live,
+                502,
+                "the target broke the connection off before its answer",
+            )
 
     def _on_unusable(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         now_ms: int,
         now_us: int,
     ) -> None:
-        """Ask again where that is safe: what came can't be passed on."""
+        """Retry where that is safe: the answer can't be passed on."""
         latency_us = now_us - live.sent_us
-        self.placing.note_answered(live, answer, latency_us, now_ms)
+        self.placement.note_answered(live, answer, latency_us, now_ms)
         self._observe_failure(live, now_ms, now_us)
         live.may_have_run = True
-        again = live.may_repeat
-        if again and self._may_retry(live, budget.Cause.BROKEN, now_ms):
+        repeatable = live.may_repeat
+        if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
-            self._finish_lost(live, 502, answer.reason or "no whole answer")
+            self._finish_lost(
+                live, 502, answer.reason or "the target's answer is incomplete"
+            )
 
     def on_unsent(
         self, request_id: int, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Note a request that never left this process: it did not run."""
+        """Handle a request that was not sent, and thus did not run."""
         live = self._take_attempt(request_id)
         unsent = messages.Answer(request_id=request_id, ran=False)
-        if live is not None and self._fall_back(live, unsent, now_ms):
+        if live is not None and self._await_other_attempt(
+            live, unsent, now_ms
+        ):
             return self._flush()
         if live is not None:
             self.balancer.lost(live.endpoint.key, now_ms)
@@ -479,37 +495,39 @@
     def on_lost(
         self, request_id: int, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Note that the link broke with a request on it: fate unknown."""
+        """Handle a lost link: it is unknown whether the request ran."""
         live = self._take_attempt(request_id)
         lost = messages.Answer(request_id=request_id, ran=True)
-        if live is not None and self._fall_back(live, lost, now_ms):
+        if live is not None and self._await_other_attempt(live, lost, now_ms):
             return self._flush()
         if live is not None:
             self.balancer.lost(live.endpoint.key, now_ms)
             live.may_have_run = True
-            again = live.may_repeat
-            if again and self._may_retry(live, budget.Cause.LOST, now_ms):
+            repeatable = live.may_repeat
+            if repeatable and self._may_retry(live, budget.Cause.LOST, now_ms):
                 self._attempt(live, now_ms, now_us)
             else:
-                self._finish_lost(live, 502, "the target's host is lost")
+                self._finish_lost(
+                    live, 502, "the connection to the target's host was lost"
+                )
         return self._flush()
 
-    def doubt(
-        self, host: str, doubted: bool, now_ms: int, now_us: int
+    def set_unresponsive(
+        self, host: str, unresponsive: bool, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Note a host whose proxy does not answer, or answers again.
+        """Record that a host's proxy is unresponsive, or responds again.
 
-        Its targets get nothing new for as long, and what may be repeated is
-        asked for at another target beside.
+        While it is unresponsive its targets get no new requests, and requests
+        that may be repeated are hedged at another target.
         """
-        self.balancer.doubt(host, doubted)
-        if doubted:
+        self.balancer.set_unresponsive(host, unresponsive)
+        if unresponsive:
             for live in list(self.live.values()):
                 if self._may_hedge(live) and live.endpoint.host == host:
                     self._hedge(live, now_ms, now_us)
         return self._flush()
 
-    def _take_attempt(self, request_id: int) -> lives.Live | None:
+    def _take_attempt(self, request_id: int) -> live_calls.LiveCall | None:
         call_id = self.by_request.pop(request_id, None)
         live = self.live.get(call_id) if call_id is not None else None
         if live is None:
@@ -517,22 +535,28 @@
         if live.request_id != request_id:
             if live.hedge is None or live.hedge.request_id != request_id:
                 return None
-            live.swap()
+            live.swap_attempts()
         return live
 
     # Hedged requests
 
-    def _hedge(self, live: lives.Live, now_ms: int, now_us: int) -> None:
-        """Ask a second target beside the first, which goes on."""
-        endpoint = self.placing.choose(live, live.tried | live.bounced, now_ms)
-        if endpoint is None or not self.balancer.has_room(endpoint, now_ms):
-            # Where all are full, requests are slow since they wait; asked
-            # for twice they would all wait longer.
+    def _hedge(
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
+    ) -> None:
+        """Send a call to a second target while the first one continues."""
+        endpoint = self.placement.choose(
+            live, live.tried | live.full_targets, now_ms
+        )
+        if endpoint is None or not self.balancer.has_free_slots(
+            endpoint, now_ms
+        ):
+            # Where all targets are full, requests are slow because they
+            # queue. Sending them twice would lengthen all queues.
             return
         if not self.accounting.withdraw(live.service, budget.Cause.HEDGED):
             return
         first = live.attempt
-        live.settled = False
+        live.may_queue = False
         self._note(
             "request.hedged",
             live,
@@ -545,7 +569,7 @@
         self._send_to(live, endpoint, now_ms, now_us)
         live.hedge = first
 
-    def _may_hedge(self, live: lives.Live) -> bool:
+    def _may_hedge(self, live: live_calls.LiveCall) -> bool:
         if live.hedge is not None or not live.request_id:
             return False
         repeatable = live.route.repeat == messages.Repeat.ANY
@@ -553,39 +577,42 @@
             return False
         return live.attempts < live.route.max_attempts
 
-    def _wants_hedge(self, live: lives.Live, now_ms: int, now_us: int) -> bool:
+    def _wants_hedge(
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
+    ) -> bool:
         if not self._may_hedge(live):
             return False
-        usual_us = self.placing.usual_us(live.route)
-        bound_us = max(usual_us * HEDGE_FACTOR, LEAST_HEDGE_US)
-        # An answer that waits for a link would only wait for one more.
-        bound_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
-        return usual_us > 0 and now_us - live.sent_us >= bound_us
-
-    def _fall_back(
-        self, live: lives.Live, answer: messages.Answer, now_ms: int
+        usual_us = self.placement.usual_us(live.route)
+        hedge_after_us = max(usual_us * HEDGE_FACTOR, MIN_HEDGE_WAIT_US)
+        # A hedge can't help an answer that waits for a link; its own answer
+        # would queue for a link as well.
+        hedge_after_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
+        return usual_us > 0 and now_us - live.sent_us >= hedge_after_us
+
+    def _await_other_attempt(
+        self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
     ) -> bool:
-        """Wait for the other attempt; False if there is none."""
+        """Continue with the other attempt; return False without one."""
         if live.hedge is None:
             return False
         key = live.endpoint.key
-        self.balancer.given_up(key)
+        self.balancer.note_cancelled(key)
         if answer.shed or answer.ran:
-            self.balancer.judged(key, True, now_ms)
+            self.balancer.note_outcome(key, True, now_ms)
         if answer.ran:
             live.may_have_run = True
         else:
             live.attempts -= 1
         self.accounting.end(live)
-        live.swap()
+        live.swap_attempts()
         live.hedge = None
         return True
 
     def on_repeat_arrived(self, request_id: int) -> None:
-        """Note that a repeat is at its target.
+        """Record that a repeat reached its target.
 
-        While another attempt is on its way as well, that one counts: if it
-        comes later, it is the repeat.
+        While another attempt is still in flight, the budget waits for that
+        one: if it arrives later, it is the repeat.
         """
         live = self.live.get(self.by_request.get(request_id, -1))
         if live is not None and live.request_id == request_id:
@@ -593,13 +620,13 @@
                 self.accounting.end(live)
 
     def _may_place_again(
-        self, live: lives.Live, answer: messages.Answer, now_ms: int
+        self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
     ) -> bool:
         """Tell whether a call that was refused may go to another target.
 
-        A refusal by the target's proxy reached no target, so it neither
-        feeds a storm nor counts as an attempt. One by the target itself
-        took its time and is a retry like others.
+        A request that the target's proxy refused did not reach the target.
+        It adds no load there and does not count as an attempt. A refusal by
+        the target itself used its time, so going on is an ordinary retry.
         """
         if answer.shed:
             return self._may_retry(live, budget.Cause.REFUSED, now_ms)
@@ -609,11 +636,11 @@
         return now_ms < live.deadline_at_ms
 
     def _may_retry(
-        self, live: lives.Live, cause: budget.Cause, now_ms: int
+        self, live: live_calls.LiveCall, cause: budget.Cause, now_ms: int
     ) -> bool:
         if live.call.retried or live.attempts >= live.route.max_attempts:
-            # A proxy nearer to the caller retries this chain already;
-            # retrying here too would multiply with each level.
+            # A proxy closer to the caller already retries this call chain.
+            # Retries at several levels would multiply.
             return False
         if now_ms >= live.deadline_at_ms:
             return False
@@ -634,7 +661,7 @@
 
     def _observe(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         latency_us: int,
         run_us: int,
         failed: bool,
@@ -642,7 +669,7 @@
     ) -> None:
         self.out.extend(
             observing.answered(
-                self.placing.endpoints,
+                self.placement.endpoints,
                 live,
                 latency_us=latency_us,
                 run_us=run_us,
@@ -652,29 +679,29 @@
         )
 
     def _observe_failure(
-        self, live: lives.Live, now_ms: int, now_us: int
+        self, live: live_calls.LiveCall, now_ms: int, now_us: int
     ) -> None:
         waited_us = now_us - live.sent_us
         self._observe(live, waited_us, waited_us, True, now_ms)
 
-    # Endings
+    # Final answers
 
     def cancel(self, call_id: int, now_ms: int) -> list[typing.Any]:
-        """Note that the caller went away."""
-        self.early.drop(call_id)
+        """Drop a call whose caller disconnected."""
+        self.pending.drop(call_id)
         live = self.live.get(call_id)
         if live is not None:
-            self._abandon(live)
+            self._cancel_attempt(live)
             if live.request_id:
-                self.balancer.given_up(live.endpoint.key)
+                self.balancer.note_cancelled(live.endpoint.key)
             self._drop(live)
         return self._flush()
 
     def tick(self, now_ms: int, now_us: int) -> list[typing.Any]:
-        """End the calls whose deadline has come."""
-        for call in self.early.expired(now_ms):
+        """Hedge slow calls, and end those whose deadline has passed."""
+        for call in self.pending.expired(now_ms):
             self._refuse(call, 503, "no configuration is in force yet")
-        self._take_claims(self.claims.tick(now_ms), now_ms, now_us)
+        self._apply_claim_results(self.claims.tick(now_ms), now_ms, now_us)
         late = [
             live
             for live in self.live.values()
@@ -684,7 +711,7 @@
             if self._wants_hedge(live, now_ms, now_us):
                 self._hedge(live, now_ms, now_us)
         for live in late:
-            self._abandon(live)
+            self._cancel_attempt(live)
             if live.request_id:
                 self.balancer.timed_out(live.endpoint.key, now_ms)
                 self._observe_failure(live, now_ms, now_us)
@@ -692,39 +719,45 @@
             self._finish_lost(live, 504, "the deadline has passed")
         return self._flush()
 
-    def _abandon(self, live: lives.Live) -> None:
-        """Tell the target's proxy to stop; give an unused claim back."""
+    def _cancel_attempt(self, live: live_calls.LiveCall) -> None:
+        """Cancel the request at the target's proxy, or drop the claim."""
         if live.request_id in self.by_request:
-            self._tell_cancel(live.request_id, live.endpoint)
+            self._send_cancel(live.request_id, live.endpoint)
         else:
             self.out.extend(self.claims.drop(live.call.call_id))
 
-    def _tell_cancel(
+    def _send_cancel(
         self, request_id: int, endpoint: routing.Endpoint
     ) -> None:
         self.by_request.pop(request_id, None)
         self.out.append(
-            effects.Tell(
+            effects.Send(
                 endpoint.host, endpoint.address, messages.Cancel(request_id)
             )
         )
 
-    def _finish_quarantined(self, live: lives.Live) -> None:
-        self._not_run(
-            live, 422, "this request crashed the targets that ran it"
+    def _finish_quarantined(self, live: live_calls.LiveCall) -> None:
+        self._finish_not_run(
+            live,
+            422,
+            "quarantined: this request crashed the targets that ran it",
         )
 
-    def _finish_no_target(self, live: lives.Live) -> None:
-        wait_ms = live.retry_after_ms or NO_TARGET_MS
-        reason = "no target can take it in time"
+    def _finish_no_target(self, live: live_calls.LiveCall) -> None:
+        wait_ms = live.retry_after_ms or NO_TARGET_RETRY_AFTER_MS
+        reason = "no target can run the request in time"
         if live.may_have_run:
-            # 503 says that it did not run; an earlier attempt may have.
+            # 503 states that it did not run, but an earlier attempt may have.
             self._finish_lost(live, 502, reason, wait_ms)
             return
-        self._not_run(live, 503, reason, wait_ms)
+        self._finish_not_run(live, 503, reason, wait_ms)
 
-    def _not_run(
-        self, live: lives.Live, status: int, reason: str, wait_ms: int = 0
+    def _finish_not_run(
+        self,
+        live: live_calls.LiveCall,
+        status: int,
+        reason: str,
+        wait_ms: int = 0,
     ) -> None:
         if live.claim is not None:
             self.out.extend(ledgers.release(live.claim))
@@ -737,41 +770,47 @@
         )
 
     def _finish_lost(
-        self, live: lives.Live, status: int, reason: str, wait_ms: int = 0
+        self,
+        live: live_calls.LiveCall,
+        status: int,
+        reason: str,
+        wait_ms: int = 0,
     ) -> None:
         if not live.may_have_run:
-            self._not_run(live, status, reason, wait_ms or COME_BACK_MS)
+            self._finish_not_run(
+                live, status, reason, wait_ms or RETRY_AFTER_MS
+            )
             return
         self._finish(
             live,
             calls.Final(
                 live.call.call_id,
                 status,
-                f"{reason}; {RAN_UNKNOWN}",
+                f"{reason}; {OUTCOME_UNKNOWN}",
                 ran=True,
                 retry_after_ms=wait_ms,
             ),
         )
 
-    def _finish_ran_before(self, found: ledgers.KeyUsed) -> None:
-        live = self.live.get(found.call_id)
+    def _finish_ran_before(self, result: ledgers.KeyUsed) -> None:
+        live = self.live.get(result.call_id)
         if live is None:
             return
         live.claim = None
-        if found.answer is None:
+        if result.answer is None:
             self._finish(
                 live,
                 calls.Final(
-                    found.call_id,
+                    result.call_id,
                     409,
-                    "the key was used before; its answer is not known here",
+                    "the key was used before; its answer is not available",
                     ran=True,
                 ),
             )
             return
         self._finish(
             live,
-            calls.Final.from_answer(found.call_id, found.answer),
+            calls.Final.from_answer(result.call_id, result.answer),
         )
 
     def _finish_unknown(self, call_id: int) -> None:
@@ -784,30 +823,32 @@
             calls.Final(
                 call_id,
                 503,
-                "not run now; it can't be known whether the key ran before",
-                retry_after_ms=COME_BACK_MS,
+                "not run; it is unknown whether the key was used before",
+                retry_after_ms=RETRY_AFTER_MS,
             ),
         )
 
-    def _finish(self, live: lives.Live, final: calls.Final) -> None:
+    def _finish(self, live: live_calls.LiveCall, final: calls.Final) -> None:
         if final.own:
-            self._note_own(live, final)
+            self._log_own_answer(live, final)
         self._drop(live)
         self.out.append(effects.Finish(final))
 
-    def _drop(self, live: lives.Live) -> None:
+    def _drop(self, live: live_calls.LiveCall) -> None:
         self.live.pop(live.call.call_id, None)
         self.by_request.pop(live.request_id, None)
         if live.hedge is not None:
-            self._tell_cancel(live.hedge.request_id, live.hedge.endpoint)
-            self.balancer.given_up(live.hedge.endpoint.key)
+            self._send_cancel(live.hedge.request_id, live.hedge.endpoint)
+            self.balancer.note_cancelled(live.hedge.endpoint.key)
             if live.hedge.paid:
                 self.accounting.arrived(live.service)
             live.hedge = None
         self.accounting.end(live)
 
-    def _note_own(self, live: lives.Live, final: calls.Final) -> None:
-        """Log an answer that no target gave, with what led to it."""
+    def _log_own_answer(
+        self, live: live_calls.LiveCall, final: calls.Final
+    ) -> None:
+        """Log a final answer that this proxy generated itself."""
         event = "request.lost" if final.ran else "request.refused"
         endpoint = live.endpoint
         self._note(
@@ -821,9 +862,9 @@
         )
 
     def _note(
-        self, event: str, live: lives.Live, **fields: typing.Any
+        self, event: str, live: live_calls.LiveCall, **fields: typing.Any
     ) -> None:
-        revision = self.placing.table.revision if self.placing.table else 0
+        revision = self.placement.table.revision if self.placement.table else 0
         self.out.append(
             common.Note(
                 event,
@@ -832,7 +873,7 @@
                     "route": live.route.name,
                     "service": live.service,
                     "attempts": live.attempts,
-                    "sent_on": len(live.bounced),
+                    "sent_on": len(live.full_targets),
                     "revision": revision,
                 }
                 | fields,
@@ -840,8 +881,8 @@
         )
 
     def _next_id(self) -> int:
-        self.ids = (self.ids + 1) & ((1 << 62) - 1)
-        return self.ids
+        self.last_id = (self.last_id + 1) & ((1 << 62) - 1)
+        return self.last_id
 
     def _flush(self) -> list[typing.Any]:
         out = self.out
@@ -849,6 +890,6 @@
         return out
 
 
-def _repeat_permille(live: lives.Live) -> int:
-    """Return how likely an attempt is a repeat at its target."""
+def _repeat_permille(live: live_calls.LiveCall) -> int:
+    """Return the probability that an attempt is a repeat, in permille."""
     return int(1000 * (1.0 if live.paid else live.repeat))
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -357,7 +357,7 @@
         if not claim.keepers:
             del self.pending[claim.claim_id]
             return [ClaimUndecided(call_id)]
-        return [effects.Tell(host, "", claim) for host in claim.keepers]
+        return [effects.Send(host, "", claim) for host in claim.keepers]
 
     def receive_reply(self, reply: messages.ClaimReply) -> list[typing.Any]:
         """Process the reply of a replica."""
@@ -406,7 +406,7 @@
 def release(claim: messages.Claim) -> list[typing.Any]:
     """Return the messages that release a claim at its replicas."""
     message = messages.ClaimRelease(claim.key, claim.claim_id)
-    return [effects.Tell(host, "", message) for host in claim.keepers]
+    return [effects.Send(host, "", message) for host in claim.keepers]
 
 
 def store_answer(
@@ -418,4 +418,4 @@
     if stored is None:
         return [common.Count("ledger.answer_too_large")]
     done = messages.ClaimDone(claim.key, claim.claim_id, stored)
-    return [effects.Tell(host, "", done) for host in claim.keepers]
+    return [effects.Send(host, "", done) for host in claim.keepers]
--- a/libs/requests/src/trefoil_requests/observing.py
+++ b/libs/requests/src/trefoil_requests/observing.py
@@ -1,36 +1,36 @@
-"""What an answer tells of its version, for metrics and for moves."""
+"""Observations of a version's answers, for metrics and moves."""
 
 from trefoil_wire import messages
 
 from . import balancer as balancers
 from . import effects
-from . import live as lives
+from . import live as live_calls
 from . import routing
 
 
 def answered(
     endpoints: routing.Endpoints,
-    live: lives.Live,
+    live: live_calls.LiveCall,
     *,
     latency_us: int,
     run_us: int,
     failed: bool,
     now_ms: int,
 ) -> list[effects.Observe]:
-    """Return what the attempt that counts has shown.
+    """Return the observation of the current attempt.
 
-    A call counts once: the retry of a failed one would make the other
-    version look as bad.
+    Each call is observed once, by its first attempt: counting the retry of a
+    failed call would make the other version look equally bad.
 
     Args:
-        endpoints: The targets that are known.
+        endpoints: The known targets.
         live: The call.
-        latency_us: Time from the request's departure.
+        latency_us: Time since the request was sent.
         run_us: How long the target ran it.
-        failed: Whether that counts against the version.
+        failed: Whether the answer counts against the version.
         now_ms: The time on the runtime's clock.
     """
-    if live.request_id != live.first_id:
+    if live.request_id != live.first_request_id:
         return []
     return [
         _observed(
@@ -46,22 +46,25 @@
 
 
 def overtaken(
-    endpoints: routing.Endpoints, live: lives.Live, now_ms: int, now_us: int
+    endpoints: routing.Endpoints,
+    live: live_calls.LiveCall,
+    now_ms: int,
+    now_us: int,
 ) -> list[effects.Observe]:
-    """Return a first attempt that its hedge overtook, as slow as it was.
+    """Return the observation of a first attempt that its hedge overtook.
 
-    Left out, a version that is slow would only show the answers that came
-    in time.
+    Its latency is the time since it was sent. Without this observation, a
+    slow version would be measured only by its fast answers.
     """
-    other = live.hedge
-    if other is None or other.request_id != live.first_id:
+    first = live.hedge
+    if first is None or first.request_id != live.first_request_id:
         return []
-    waited_us = now_us - other.sent_us
+    waited_us = now_us - first.sent_us
     return [
         _observed(
             endpoints,
             live,
-            other,
+            first,
             latency_us=waited_us,
             run_us=waited_us,
             failed=False,
@@ -72,8 +75,8 @@
 
 def _observed(
     endpoints: routing.Endpoints,
-    live: lives.Live,
-    attempt: lives.Attempt,
+    live: live_calls.LiveCall,
+    attempt: live_calls.Attempt,
     *,
     latency_us: int,
     run_us: int,
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -1,4 +1,4 @@
-"""Which target a call is sent to: version, failure domain, load and speed."""
+"""Chooses the target of a call by version, failure domain, load and speed."""
 
 import random
 
@@ -7,30 +7,31 @@
 
 from . import balancer as balancers
 from . import bodies
-from . import crossing as cross_domain
-from . import live as lives
+from . import crossing
+from . import live as live_calls
 from . import routing
 
-# How many times a request is sent on from a full target before it waits at
-# the next. With two, a free slot among a dozen targets is found nearly
-# always; each costs a round trip between proxies.
-BOUNCES = 2
-# A call that costs this part of an answer in time to send far is not sent far
-# on trial.
-COSTLY = 0.1
-# What goes to another host passes both hosts' links. On links of 4 Mbit/s a
-# KiB takes 2 ms on each; where they are filled by a burst, calls that stay on
-# their host are what still gets through.
-AWAY_US_A_KIB = 4000.0
-# Some twenty calls: a route's usual work is known within seconds of its first
-# call, and one long call does not make it look slow.
+# Number of full targets that may reject a request before it queues at the
+# next. With two, a free slot among a dozen targets is found nearly always;
+# each rejection costs a round trip between proxies.
+MAX_FULL_TARGETS = 2
+# A call whose bytes cost at least this share of a timely answer's worth is not
+# sent to another failure domain if it may be rejected there.
+COSTLY_CROSSING = 0.1
+# Bytes sent to another host pass both hosts' links. On links of 4 Mbit/s, one
+# KiB takes 2 ms on each. While a burst fills the links, only calls that stay
+# on their host still get through.
+REMOTE_US_PER_KIB = 4000.0
+# Averages over about twenty calls. A route's usual run time is known within
+# seconds of its first call, and one long call does not make it look slow.
 MEAN_WEIGHT = 0.05
-# A target's own failures; what a caller did wrong (4xx) says nothing of it.
-FAILED_STATUS = 500
+# Lowest status that is the target's fault. Errors of the caller (4xx) say
+# nothing about the target.
+MIN_TARGET_FAULT_STATUS = 500
 
 
-class Placing:
-    """The choice of targets at one entry proxy.
+class Placement:
+    """Chooses the targets of the calls at one entry proxy.
 
     Args:
         host: This proxy's host.
@@ -44,9 +45,9 @@
         "endpoints",
         "balancer",
         "halted",
-        "route_means",
-        "route_bytes",
-        "service_means",
+        "route_mean_us",
+        "route_mean_bytes",
+        "service_mean_us",
     )
 
     def __init__(self, host: str, domain: str, rng: random.Random) -> None:
@@ -55,175 +56,197 @@
         self.endpoints = routing.Endpoints()
         self.balancer = balancers.Balancer(domain, rng, host)
         self.halted: dict[str, frozenset[str]] = {}
-        self.route_means: dict[str, float] = {}
-        self.route_bytes: dict[str, float] = {}
-        self.service_means: dict[str, float] = {}
+        self.route_mean_us: dict[str, float] = {}
+        self.route_mean_bytes: dict[str, float] = {}
+        self.service_mean_us: dict[str, float] = {}
 
     def put_in_force(self, table: routing.RouteTable) -> None:
-        """Place by a new configuration; forget what it no longer names."""
+        """Switch to a new configuration and drop data of removed routes."""
         self.table = table
         names = {route.name for route in table.routes}
-        for means in (self.route_means, self.route_bytes):
+        for means in (self.route_mean_us, self.route_mean_bytes):
             for name in [n for n in means if n not in names]:
                 del means[name]
 
     def records_changed(
         self, records: record_store.Records, now_ms: int
     ) -> None:
-        """Take in the hosts' records."""
+        """Rebuild the endpoints from the hosts' records."""
         self.endpoints.rebuild(records, self.table, now_ms)
         self.balancer.keep_only(self.endpoints.by_key)
 
     def usual_us(self, route: messages.Route) -> float:
-        """Return how long a route's requests run as a rule, 0 if unknown."""
-        return self.route_means.get(route.name, 0.0)
+        """Return the usual run time of a route's requests, 0 if unknown."""
+        return self.route_mean_us.get(route.name, 0.0)
 
-    def choose_and_settle(
-        self, live: lives.Live, now_ms: int
+    def place(
+        self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
-        """Return a target, and settle whether a call may wait there.
+        """Return a target, and set whether the call may queue there.
 
-        The body of a large call does not leave before the call is taken, so
-        it costs little to send one on.
+        The body of a large call is not sent before the target's proxy accepts
+        the call, so forwarding such a call again costs little.
         """
-        costly = self._far_cost(live.route) >= COSTLY
+        costly = self._crossing_cost(live.route) >= COSTLY_CROSSING
         if costly and not bodies.is_large(live.call.body):
             return self._choose_costly(live, now_ms)
-        return self._choose_by_trial(live, now_ms)
+        return self._choose_by_forwarding(live, now_ms)
 
     def _choose_costly(
-        self, live: lives.Live, now_ms: int
+        self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
-        """Place a call whose bytes are costly to send far.
+        """Place a call whose bytes are costly to send to another domain.
 
-        It may go back to the queue of a full near target, and waits at the
-        far one that it is sent to: refused there, it would cross once more.
+        It may queue at a full local target that rejected it before. It always
+        queues at a cross-domain target, since after a rejection there its
+        bytes would cross between domains again.
         """
         endpoint = self.choose(live, live.tried, now_ms)
-        live.settled = endpoint is not None and (
-            self._is_far(endpoint) or endpoint.key in live.bounced
+        live.may_queue = endpoint is not None and (
+            self._is_cross_domain(endpoint)
+            or endpoint.key in live.full_targets
         )
         return endpoint
 
-    def _choose_by_trial(
-        self, live: lives.Live, now_ms: int
+    def _choose_by_forwarding(
+        self, live: live_calls.LiveCall, now_ms: int
     ) -> routing.Endpoint | None:
-        """Place a call that costs little to send on.
+        """Place a call that costs little to forward again.
 
-        It is sent on from full targets a few times, since one that is free
-        is likely to be found. Then it waits at the one that looks best, full
-        ones among them.
+        It is forwarded a few times after full targets reject it, since this
+        is likely to find a free one. Then it queues at the best target, which
+        may be a full one.
         """
-        live.settled = False
-        if len(live.bounced) < BOUNCES:
-            endpoint = self.choose(live, live.tried | live.bounced, now_ms)
+        live.may_queue = False
+        if len(live.full_targets) < MAX_FULL_TARGETS:
+            endpoint = self.choose(
+                live, live.tried | live.full_targets, now_ms
+            )
             if endpoint is not None:
-                live.settled = self._is_refused_far(live, endpoint, now_ms)
+                live.may_queue = self._would_cross_to_full(
+                    live, endpoint, now_ms
+                )
                 return endpoint
-        live.settled = True
+        live.may_queue = True
         return self.choose(live, live.tried, now_ms)
 
-    def _is_far(self, endpoint: routing.Endpoint) -> bool:
+    def _is_cross_domain(self, endpoint: routing.Endpoint) -> bool:
         return endpoint.domain != self.balancer.domain
 
-    def _is_refused_far(
-        self, live: lives.Live, endpoint: routing.Endpoint, now_ms: int
+    def _would_cross_to_full(
+        self,
+        live: live_calls.LiveCall,
+        endpoint: routing.Endpoint,
+        now_ms: int,
     ) -> bool:
-        """Tell whether a call would go far to be refused once more.
+        """Tell whether another domain would probably reject a call again.
 
-        In an overload all targets are full. Calls that are refused in other
-        failure domains, one after the other, cross between them more often
-        and are in time no more often than those that wait.
+        In an overload all targets are full. Calls that are rejected in one
+        failure domain after the other cross between domains more often than
+        calls that queue, but are not answered in time more often.
         """
         return (
-            self._is_far(endpoint)
-            and bool(live.bounced)
+            self._is_cross_domain(endpoint)
+            and bool(live.full_targets)
             and self.balancer.is_full(endpoint, now_ms)
         )
 
     def choose(
-        self, live: lives.Live, tried: set[str], now_ms: int
+        self, live: live_calls.LiveCall, tried: set[str], now_ms: int
     ) -> routing.Endpoint | None:
-        """Return a target of the drawn version, else of another in force.
+        """Return a target of the drawn version, or of another as a fallback.
 
-        The other versions are a fallback: a version whose targets are all
-        away or shedding must not cost callers an answer that another
-        version with a share can give. While a move runs, a version on trial
-        stands in only for one without any target.
+        If all targets of the drawn version are unavailable or shedding,
+        callers still get an answer from another version with a share. While a
+        move runs, the new version serves the old one's calls only if the old
+        one has no target at all.
         """
         service = live.service
         if self.table is None or service not in self.table.shares:
             return None
-        named = {s.version for s in self.table.shares[service].shares}
+        named_versions = {s.version for s in self.table.shares[service].shares}
         urgency = self._urgency(live, now_ms)
         for version in self._versions(live):
-            holding = self.endpoints.holding(
-                service, version, live.route.resource, named
+            serving = self.endpoints.serving(
+                service, version, live.route.resource, named_versions
             )
             endpoint = self.balancer.pick(
-                holding,
+                serving,
                 self.endpoints.first_seen_ms,
                 tried=tried,
                 now_ms=now_ms,
                 urgency=urgency,
-                away_us=self._kib(live.route) * AWAY_US_A_KIB,
+                remote_penalty_us=self._mean_kib(live.route)
+                * REMOTE_US_PER_KIB,
                 large=bodies.is_large(live.call.body),
             )
             if endpoint is not None:
                 return endpoint
-            if holding and not self.table.may_overflow(service, version):
+            if serving and not self.table.may_overflow(service, version):
                 break
         return None
 
-    def _versions(self, live: lives.Live) -> list[str]:
+    def _versions(self, live: live_calls.LiveCall) -> list[str]:
         """Return the versions that may serve a call, the drawn one first.
 
-        One is drawn once for each call. Drawn anew whenever a full target
-        sends the call on, a version on trial would meet many times its
-        share of a service that is short of slots.
+        The version is drawn once for each call. If it were drawn again
+        whenever a full target rejects the call, the new version of a service
+        that is short of slots would receive many times its share.
         """
         halted = self.halted.get(live.service, frozenset())
         in_force = self.table.versions(live.service)
-        if live.drawn not in in_force or live.drawn in halted:
-            live.drawn = self.table.draw_version(
+        if live.drawn_version not in in_force or live.drawn_version in halted:
+            live.drawn_version = self.table.draw_version(
                 live.service, self.rng, halted
             )
-        others = [v for v in in_force if v != live.drawn and v not in halted]
-        return [live.drawn] + others
-
-    def _urgency(self, live: lives.Live, now_ms: int) -> cross_domain.Urgency:
-        return cross_domain.Urgency(
+        others = [
+            v for v in in_force if v != live.drawn_version and v not in halted
+        ]
+        return [live.drawn_version] + others
+
+    def _urgency(
+        self, live: live_calls.LiveCall, now_ms: int
+    ) -> crossing.Urgency:
+        return crossing.Urgency(
             (live.aim_at_ms - now_ms) * 1000,
             (live.deadline_at_ms - now_ms) * 1000,
-            self._far_cost(live.route),
+            self._crossing_cost(live.route),
         )
 
-    def _far_cost(self, route: messages.Route) -> float:
-        """Return what it costs to send a call far, in answers in time."""
-        return cross_domain.cost(self._kib(route))
+    def _crossing_cost(self, route: messages.Route) -> float:
+        """Return a call's cross-domain cost, in units of a timely answer."""
+        return crossing.cost(self._mean_kib(route))
 
-    def _kib(self, route: messages.Route) -> float:
-        """Return how much a route's calls carry as a rule, both ways."""
-        return self.route_bytes.get(route.name, 0.0) / 1024
+    def _mean_kib(self, route: messages.Route) -> float:
+        """Return the mean KiB that a route's calls and answers carry."""
+        return self.route_mean_bytes.get(route.name, 0.0) / 1024
 
     def note_answered(
         self,
-        live: lives.Live,
+        live: live_calls.LiveCall,
         answer: messages.Answer,
         latency_us: int,
         now_ms: int,
     ) -> None:
-        """Tell the balancer how long an average request takes there.
+        """Record an answer, with its time scaled to an average request.
 
-        Routes differ in their work several times over; compared as they
-        are, a target that got two long requests would look slow.
+        The run times of routes differ by a factor of several. Without the
+        scaling, a target that got two long requests would look slow.
         """
-        self._mean(self.route_bytes, live.route.name, _moved(live, answer))
-        failed = answer.unusable or answer.status >= FAILED_STATUS
-        self.balancer.judged(live.endpoint.key, failed, now_ms)
+        self._update_mean(
+            self.route_mean_bytes,
+            live.route.name,
+            _carried_bytes(live, answer),
+        )
+        failed = answer.unusable or answer.status >= MIN_TARGET_FAULT_STATUS
+        self.balancer.note_outcome(live.endpoint.key, failed, now_ms)
         took_us = answer.service_us or latency_us
-        route_us = self._mean(self.route_means, live.route.name, took_us)
-        mean_us = self._mean(self.service_means, live.service, took_us)
+        route_us = self._update_mean(
+            self.route_mean_us, live.route.name, took_us
+        )
+        mean_us = self._update_mean(
+            self.service_mean_us, live.service, took_us
+        )
         self.balancer.answered(
             live.endpoint.key,
             took_us * mean_us / max(route_us, 1.0),
@@ -232,16 +255,16 @@
             answer.usual_us or 0,
         )
 
-    def _mean(
-        self, means: dict[str, float], name: str, took_us: float
+    def _update_mean(
+        self, means: dict[str, float], name: str, value: float
     ) -> float:
-        mean = means.get(name, float(took_us))
-        mean += MEAN_WEIGHT * (took_us - mean)
+        mean = means.get(name, float(value))
+        mean += MEAN_WEIGHT * (value - mean)
         means[name] = mean
         return mean
 
 
-def _moved(live: lives.Live, answer: messages.Answer) -> int:
-    """Return how many bytes a call and its answer carry."""
+def _carried_bytes(live: live_calls.LiveCall, answer: messages.Answer) -> int:
+    """Return the size of a call and its answer in bytes."""
     asked = len(live.call.headers) + len(live.call.body)
     return asked + len(answer.headers or b"") + len(answer.body or b"")
--- a/libs/requests/src/trefoil_requests/routing.py
+++ b/libs/requests/src/trefoil_requests/routing.py
@@ -1,4 +1,4 @@
-"""Routing: which route a request takes, to which targets it may lead."""
+"""Routing: matches requests to routes, and routes to targets."""
 
 import collections.abc
 import dataclasses
@@ -11,13 +11,13 @@
 from trefoil_wire import messages
 
 ANY = "*"
-# The version that stands for all that no other share of its service names.
-UNNAMED = ""
+# In a service's shares, stands for all versions that no other share names.
+OTHER_VERSIONS = ""
 
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """A target as other proxies see it."""
+    """A target as announced to other proxies."""
 
     host: str
     domain: str
@@ -26,7 +26,7 @@
 
     @property
     def key(self) -> str:
-        """Return the target's name in the fleet."""
+        """Return the target's unique name in the fleet."""
         return f"{self.host}/{self.target.name}"
 
 
@@ -40,7 +40,7 @@
     __slots__ = (
         "revision",
         "routes",
-        "places",
+        "by_prefix",
         "shares",
         "services",
         "excluded",
@@ -49,11 +49,11 @@
 
     def __init__(self, items: item_store.Items) -> None:
         self.revision = items.revision
-        self.routes = sorted(items.all(item_store.ROUTE), key=_specific_first)
-        self.places: dict[tuple[str, str], list[messages.Route]] = {}
+        self.routes = sorted(items.all(item_store.ROUTE), key=_by_specificity)
+        self.by_prefix: dict[tuple[str, str], list[messages.Route]] = {}
         for route in self.routes:
-            place = (route.host, route.prefix.rstrip("/"))
-            self.places.setdefault(place, []).append(route)
+            key = (route.host, route.prefix.rstrip("/"))
+            self.by_prefix.setdefault(key, []).append(route)
         self.limits: messages.CallerLimits | None = items.get(
             item_store.LIMITS
         )
@@ -69,35 +69,37 @@
         """Return the route of a request.
 
         Raises:
-            ProtocolError: No route takes it (404), or none with its method
-                (405).
+            ProtocolError: No route matches it (404), or none allows its
+                method (405).
         """
-        elsewhere = False
+        other_method = False
         for route in self._candidates(host, path.partition("?")[0]):
             if not route.methods or method in route.methods:
                 return route
-            elsewhere = True
-        if elsewhere:
-            raise errors.ProtocolError(405, f"no route takes {method} here")
-        raise errors.ProtocolError(404, "no route takes this path")
+            other_method = True
+        if other_method:
+            raise errors.ProtocolError(405, f"no route allows {method} here")
+        raise errors.ProtocolError(404, "no route matches this path")
 
     def _candidates(
         self, host: str, path: str
     ) -> collections.abc.Iterator[messages.Route]:
-        """Return the routes over a path, the most specific first.
+        """Return the routes whose prefix covers a path, longest first.
 
-        One look-up a segment of the path: hundreds of routes would else be
-        compared with each request's path one by one.
+        Needs one look-up per segment of the path, instead of comparing the
+        path with hundreds of routes one by one.
         """
         for name in (host, ANY):
-            at = path
+            ancestor = path
             while True:
-                for route in self.places.get((name, at), ()):
-                    if _under(path, route.prefix):
+                for route in self.by_prefix.get((name, ancestor), ()):
+                    if _is_under_prefix(path, route.prefix):
                         yield route
-                if not at:
+                if not ancestor:
                     break
-                at = at[: at.rfind("/")] if "/" in at else ""
+                ancestor = (
+                    ancestor[: ancestor.rfind("/")] if "/" in ancestor else ""
+                )
 
     def draw_version(
         self, service: str, rng: random.Random, halted: frozenset[str]
@@ -107,21 +109,23 @@
         Args:
             service: Name of the service.
             rng: Draws the version.
-            halted: Versions that this proxy no longer sends to, by its own
+            halted: Versions that this proxy stopped using because of its own
                 evidence.
         """
         shares = self.shares[service].shares
-        live = [s for s in shares if s.permille and s.version not in halted]
-        if not live:
-            live = [s for s in shares if s.permille] or shares
-        if len(live) == 1:
-            return live[0].version
-        draw = rng.randrange(sum(share.permille for share in live))
-        for share in live:
+        eligible = [
+            s for s in shares if s.permille and s.version not in halted
+        ]
+        if not eligible:
+            eligible = [s for s in shares if s.permille] or shares
+        if len(eligible) == 1:
+            return eligible[0].version
+        draw = rng.randrange(sum(share.permille for share in eligible))
+        for share in eligible:
             draw -= share.permille
             if draw < 0:
                 return share.version
-        return live[-1].version
+        return eligible[-1].version
 
     def versions(self, service: str) -> list[str]:
         """Return the versions with a share, greatest share first."""
@@ -129,19 +133,19 @@
         return [share.version for share in shares if share.permille]
 
     def may_overflow(self, service: str, version: str) -> bool:
-        """Tell whether a version's calls may go to others when it is full.
+        """Tell whether a full version's calls may go to other versions.
 
-        While a move runs, calls leave the version with the smaller share
-        for the greater one only. The other way round, a service short of
-        slots would send callers to a version on trial beyond its share.
+        While a move runs, calls overflow only from the version with the
+        smaller share to the one with the greater. In the other direction, a
+        service short of slots would send the new version more than its share.
         """
         if not self.shares[service].move_id:
             return True
         return version != self.versions(service)[0]
 
 
-def _under(path: str, prefix: str) -> bool:
-    """Tell whether a path lies under a prefix, at a segment's edge."""
+def _is_under_prefix(path: str, prefix: str) -> bool:
+    """Tell whether a prefix covers a path and ends at a segment boundary."""
     if not path.startswith(prefix):
         return False
     return (
@@ -151,12 +155,12 @@
     )
 
 
-def _specific_first(route: messages.Route) -> tuple[int, str]:
+def _by_specificity(route: messages.Route) -> tuple[int, str]:
     return -len(route.prefix), route.name
 
 
 def draw_service(route: messages.Route, rng: random.Random) -> str:
-    """Return the service that a call on a route goes to, by weight."""
+    """Draw the service that a call on a route goes to, by weight."""
     if not route.backends:
         return route.service_name
     weights = [backend.weight for backend in route.backends]
@@ -164,7 +168,7 @@
 
 
 class Endpoints:
-    """The targets that requests may be led to, by service and version."""
+    """The targets that requests may be sent to, by service and version."""
 
     __slots__ = (
         "by_version",
@@ -187,7 +191,7 @@
         table: RouteTable | None,
         now_ms: int,
     ) -> None:
-        """Take in the hosts' records, and what a configuration leaves out."""
+        """Rebuild from the hosts' records, without excluded targets."""
         self.by_version = {}
         self.by_service = {}
         self.by_key = {}
@@ -199,7 +203,9 @@
                     continue
                 if target.state != messages.TargetState.DRAINING:
                     self._add(record, target, now_ms)
-        self.hosts_of = {name: sorted(found) for name, found in hosts.items()}
+        self.hosts_of = {
+            name: sorted(host_names) for name, host_names in hosts.items()
+        }
         for key in list(self.first_seen_ms):
             if key not in self.by_key:
                 del self.first_seen_ms[key]
@@ -217,25 +223,30 @@
         self.by_key[endpoint.key] = endpoint
         self.first_seen_ms.setdefault(endpoint.key, now_ms)
 
-    def holding(
+    def serving(
         self,
         service: str,
         version: str,
         resource: str,
-        named: collections.abc.Container[str] = (),
+        named_versions: collections.abc.Container[str] = (),
     ) -> list[Endpoint]:
-        """Return the targets of a version that hold a resource.
+        """Return the targets that serve a version and hold a resource.
 
         Args:
             service: Name of the service.
-            version: The version; ``UNNAMED`` stands for all but ``named``.
+            version: The version; ``OTHER_VERSIONS`` stands for all
+                versions that are not in ``named_versions``.
             resource: The resource, empty for any.
-            named: Versions that the service's shares name.
+            named_versions: Versions that the service's shares name.
         """
-        found = self.by_version.get((service, version), [])
-        if version == UNNAMED:
-            every = self.by_service.get(service, [])
-            found = [e for e in every if e.target.version not in named]
+        endpoints = self.by_version.get((service, version), [])
+        if version == OTHER_VERSIONS:
+            all_versions = self.by_service.get(service, [])
+            endpoints = [
+                e
+                for e in all_versions
+                if e.target.version not in named_versions
+            ]
         if not resource:
-            return found
-        return [e for e in found if resource in e.target.resources]
+            return endpoints
+        return [e for e in endpoints if resource in e.target.resources]
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -307,7 +307,7 @@
         """Set how much longer a target is cold, as it replied."""
         target = self.targets.get(name)
         if target is not None:
-            target.slots.warmup.tell(left_ms, now_ms)
+            target.slots.warmup.set_remaining(left_ms, now_ms)
 
     def _refuse_waiting(self, name: str, reason: str, now_ms: int) -> None:
         """Refuse the requests of a target that wait for a slot or a body.
@@ -534,7 +534,7 @@
         tracked.dispatched_ms = now_ms
         if tracked.request.repeat_permille == CERTAIN_PERMILLE:
             request_id = tracked.request.request_id
-            self.out.append(effects.Arrived(tracked.origin, request_id))
+            self.out.append(effects.RepeatArrived(tracked.origin, request_id))
         target = self.targets[tracked.target]
         self.out.append(
             effects.Dispatch(
@@ -595,7 +595,7 @@
         Only calls by targets on the host of the entry proxy count; the unit is
         1/1000.
         """
-        share = self.origins.called_share(
+        share = self.origins.call_share(
             request.route, request.services_key or ""
         )
         return int(1000 * share)
@@ -770,7 +770,7 @@
             cleared=False,
         )
         self.quarantine.hear(notice, crash.first_break_ms)
-        self.out.append(effects.Flood(notice))
+        self.out.append(effects.BroadcastNotice(notice))
         for tracked in crash.requests:
             self._note("target.crashed", tracked, sole=sole)
             answer = messages.Answer(
