--- a/libs/moves/src/trefoil_moves/command_results.py
+++ b/libs/moves/src/trefoil_moves/command_results.py
@@ -77,7 +77,9 @@
             return refusal
     candidate = state.items.copy()
     _put_configuration(candidate, index, body)
-    problems = check.problems(candidate) + _move_problems(state, candidate)
+    problems = check.find_problems(candidate) + _move_problems(
+        state, candidate
+    )
     if problems:
         return CommandResult(
             Outcome.NOT_RUN, "; ".join(problems), messages.Cause.INVALID
