--- a/libs/daemon/src/trefoil_daemon/queries.py
+++ b/libs/daemon/src/trefoil_daemon/queries.py
@@ -54,7 +54,7 @@
         {
             "rows": answer(statement, knowledge),
             "confirmed": confirmed,
-            "told_by": knowledge.node.me,
+            "told_by": knowledge.node.local_host,
         }
     )
 
@@ -310,7 +310,8 @@
                 "control": name,
                 "identity": identity,
                 "role": _role(identity, raft),
-                "linked": name == known.node.me or name in known.node.links,
+                "linked": name == known.node.local_host
+                or name in known.node.links,
                 "revision": known.state.items.revision,
             }
         )
--- a/libs/fleet/src/trefoil_fleet/distribution.py
+++ b/libs/fleet/src/trefoil_fleet/distribution.py
@@ -48,7 +48,7 @@
         "peer_lag_since_ms",
         "last_pull_ms",
         "floor_queried_ms",
-        "out",
+        "pending_effects",
     )
 
     def __init__(
@@ -72,7 +72,7 @@
         self.peer_lag_since_ms: dict[str, int] = {}
         self.last_pull_ms: dict[str, int] = {}
         self.floor_queried_ms = 0
-        self.out: list[typing.Any] = []
+        self.pending_effects: list[typing.Any] = []
 
     # Input
 
@@ -99,7 +99,7 @@
         if problems:
             self.rejected = "; ".join(problems)
             self.rejected_revision = candidate.revision
-            self.out.append(
+            self.pending_effects.append(
                 common.Note(
                     "config.rejected",
                     {"revision": candidate.revision, "why": self.rejected},
@@ -114,7 +114,9 @@
         available = self._items_for(peer)
         if available.revision > pull.have or pull.whole:
             base = 0 if pull.whole else pull.have
-            self.out.append(common.Send(peer, available.delta_since(base)))
+            self.pending_effects.append(
+                common.Send(peer, available.delta_since(base))
+            )
             self.peer_held[peer] = available.revision
 
     def on_peer_revision(
@@ -167,9 +169,9 @@
             self._query_floor([peer])
 
     def _query_floor(self, links: list[str]) -> None:
-        query = messages.FloorQuery(nonce=0, host=self.floor.me)
+        query = messages.FloorQuery(nonce=0, host=self.floor.local_host)
         for peer in links:
-            self.out.append(common.Send(peer, query))
+            self.pending_effects.append(common.Send(peer, query))
 
     def confirmed_revision(self) -> int:
         """Return the revision that this seed confirms, -1 for none."""
@@ -192,10 +194,10 @@
         self._put_in_force_if_due(now_ms)
         if self.is_seed and self.in_force.revision < candidate.revision:
             notice = messages.HeldNotice(
-                host=self.floor.me, revision=candidate.revision
+                host=self.floor.local_host, revision=candidate.revision
             )
             for peer in self.other_seeds:
-                self.out.append(common.Send(peer, notice))
+                self.pending_effects.append(common.Send(peer, notice))
 
     def _put_in_force_if_due(self, now_ms: int) -> None:
         held = self.held
@@ -210,7 +212,7 @@
             return
         self.in_force = held
         self.rejected = ""
-        self.out.append(effects.PutInForce(held))
+        self.pending_effects.append(effects.PutInForce(held))
 
     def _held_by_majority(self) -> bool:
         """Return whether a majority of the domain's seeds hold the revision.
@@ -254,7 +256,7 @@
             known = self.peer_held.get(peer)
             if known is None or known >= self.in_force.revision:
                 continue
-            self.out.append(
+            self.pending_effects.append(
                 common.Send(peer, self.in_force.delta_since(known))
             )
             self.peer_held[peer] = self.in_force.revision
@@ -272,7 +274,9 @@
             return
         since = self.peer_lag_since_ms.setdefault(peer, now_ms)
         if now_ms - since >= REPAIR_DELAY_MS:
-            self.out.append(common.Send(peer, available.delta_since(known)))
+            self.pending_effects.append(
+                common.Send(peer, available.delta_since(known))
+            )
             self.peer_lag_since_ms[peer] = now_ms
 
     def _pull(self, peer: str, now_ms: int, *, whole: bool = False) -> None:
@@ -286,4 +290,4 @@
         self.last_pull_ms[peer] = now_ms
         have = 0 if whole else self.held.revision
         pull = messages.ConfigPull(have=have, whole=whole)
-        self.out.append(common.Send(peer, pull))
+        self.pending_effects.append(common.Send(peer, pull))
--- a/libs/fleet/src/trefoil_fleet/floor.py
+++ b/libs/fleet/src/trefoil_fleet/floor.py
@@ -38,13 +38,13 @@
     """Collects the proof of the floor from a process's start to its end.
 
     Args:
-        me: Name of this host.
+        local_host: Name of this host.
         seeds: Names of the domain's seeds.
-        certain: True for control processes, whose floor Raft guarantees.
+        proved: True for control processes, whose floor Raft guarantees.
     """
 
     __slots__ = (
-        "me",
+        "local_host",
         "seeds",
         "revision",
         "proved",
@@ -53,12 +53,12 @@
     )
 
     def __init__(
-        self, me: str, seeds: list[str], *, certain: bool = False
+        self, local_host: str, seeds: list[str], *, proved: bool = False
     ) -> None:
-        self.me = me
+        self.local_host = local_host
         self.seeds = sorted(seeds)
         self.revision = 0
-        self.proved = certain
+        self.proved = proved
         self.seed_revisions: dict[str, int] = {}
         self.voter_revisions: dict[str, int] = {}
 
@@ -66,7 +66,7 @@
         self,
         host: str,
         revision: int,
-        certain: bool,
+        confirmed_by_leader: bool,
         voters: collections.abc.Collection[str] = (),
     ) -> None:
         """Add a floor reply.
@@ -75,7 +75,8 @@
             host: The host that replied.
             revision: The newest revision that it knows of; a negative one
                 confirms nothing.
-            certain: Whether the leader's quorum confirmed the revision.
+            confirmed_by_leader: Whether the leader confirmed the revision
+                through its quorum.
             voters: The Raft voters, if one of them replied on its own
                 behalf.
         """
@@ -84,11 +85,11 @@
         if host in voters and revision >= 0:
             self._add_voter_reply(host, revision, voters)
             return
-        if certain:
+        if confirmed_by_leader:
             self.revision = max(self.revision, revision)
             self.proved = True
             return
-        if revision < 0 or host not in self.seeds or host == self.me:
+        if revision < 0 or host not in self.seeds or host == self.local_host:
             return
         self.seed_revisions[host] = max(
             self.seed_revisions.get(host, 0), revision
--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -34,7 +34,7 @@
         "records",
         "probe_at_ms",
         "unresponsive_since_ms",
-        "out",
+        "pending_effects",
         "flood",
     )
 
@@ -53,7 +53,7 @@
         self.records = record_store.Records()
         self.probe_at_ms = 0
         self.unresponsive_since_ms: dict[str, int] = {}
-        self.out: list[typing.Any] = []
+        self.pending_effects: list[typing.Any] = []
         self.flood: list[messages.HostRecord] = []
 
     def start(self, now_ms: int) -> None:
@@ -84,7 +84,7 @@
                 updates.append(record)
         if updates:
             hosts = [record.host for record in updates]
-            self.out.append(effects.RecordsChanged(hosts))
+            self.pending_effects.append(effects.RecordsChanged(hosts))
         return updates
 
     def _death_as_suspicion(
@@ -153,16 +153,20 @@
         marked = self.records.mark(host, State.SUSPECT, now_ms)
         if marked is not None:
             self.flood.append(marked)
-            self.out.append(effects.RecordsChanged([host]))
-            self.out.append(common.Note("member.suspect", {"peer": host}))
+            self.pending_effects.append(effects.RecordsChanged([host]))
+            self.pending_effects.append(
+                common.Note("member.suspect", {"peer": host})
+            )
 
     def tick(self, linked: set[str], now_ms: int) -> None:
         """Expire suspected hosts and probe one host without a link."""
         changed = self.records.expire(now_ms)
         if changed:
-            self.out.append(effects.RecordsChanged(changed))
+            self.pending_effects.append(effects.RecordsChanged(changed))
             for host in changed:
-                self.out.append(common.Note("member.dead", {"peer": host}))
+                self.pending_effects.append(
+                    common.Note("member.dead", {"peer": host})
+                )
         if self.probes and now_ms >= self.probe_at_ms:
             self.probe_at_ms = now_ms + PROBE_MS
             self._probe(linked)
@@ -184,7 +188,9 @@
         ]
         if candidates:
             chosen = self.rng.choice(candidates)
-            self.out.append(effects.Probe(chosen.host, chosen.address))
+            self.pending_effects.append(
+                effects.Probe(chosen.host, chosen.address)
+            )
 
     def _refute(self, seen: messages.HostRecord, now_ms: int) -> None:
         """Publish a newer record if a peer's record of this host is newer."""
@@ -195,7 +201,9 @@
             own.incarnation = seen.incarnation + 1
         own.sequence = max(own.sequence, seen.sequence)
         self._publish_next_version(now_ms)
-        self.out.append(common.Note("member.refuted", {"seen": seen.state}))
+        self.pending_effects.append(
+            common.Note("member.refuted", {"seen": seen.state})
+        )
 
     def _publish_next_version(
         self,
@@ -220,4 +228,4 @@
     def _publish_own(self, now_ms: int) -> None:
         self.records.put(self.record, now_ms)
         self.flood.append(self.record)
-        self.out.append(effects.RecordsChanged([self.record.host]))
+        self.pending_effects.append(effects.RecordsChanged([self.record.host]))
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -61,7 +61,7 @@
         control: Whether the peer is a control process.
         served: Whether the peer dialled this process as its uplink.
         last_received_ms: When the last message from the peer arrived.
-        led: Whether the peer knows of a leader.
+        leader_known: Whether the peer knows of a leader.
         summary_ms: When a summary of records was last sent to the peer.
         mismatches: Successive heartbeats with another digest of records.
         disconnecting: Whether this process has asked to close the link.
@@ -71,7 +71,7 @@
     control: bool
     served: bool
     last_received_ms: int
-    led: bool = True
+    leader_known: bool = True
     summary_ms: int = 0
     mismatches: int = 0
     disconnecting: bool = False
@@ -93,7 +93,7 @@
     """
 
     __slots__ = (
-        "me",
+        "local_host",
         "control",
         "overlay",
         "members",
@@ -113,11 +113,11 @@
         "join_ms",
         "joins_per_s",
         "leader",
-        "led",
+        "leader_known",
         "uplink_linked_ms",
         "old_uplink",
         "rng",
-        "out",
+        "pending_effects",
     )
 
     def __init__(
@@ -131,10 +131,10 @@
         rng: random.Random,
         joins_per_s: int = JOINS_PER_S,
     ) -> None:
-        self.me = record.host
+        self.local_host = record.host
         self.control = control
         self.overlay = overlays.Overlay(
-            self.me,
+            self.local_host,
             domain=record.domain,
             control=control,
             seeds=seeds,
@@ -144,13 +144,15 @@
         self.members = memberships.Membership(
             record,
             control=control,
-            probes=control or self.me in seeds,
+            probes=control or self.local_host in seeds,
             rng=rng,
         )
         self.config = distributions.Distribution(
-            floors.Floor(self.me, list(seeds), certain=control),
-            is_seed=self.me in seeds,
-            other_seeds=[name for name in sorted(seeds) if name != self.me],
+            floors.Floor(self.local_host, list(seeds), proved=control),
+            is_seed=self.local_host in seeds,
+            other_seeds=[
+                name for name in sorted(seeds) if name != self.local_host
+            ],
             control=control,
         )
         self.reports = report_store.Reports()
@@ -168,11 +170,11 @@
         self.join_ms = now_ms
         self.joins_per_s = joins_per_s
         self.leader = ""
-        self.led = True
+        self.leader_known = True
         self.uplink_linked_ms = now_ms
         self.old_uplink = ""
         self.rng = rng
-        self.out: list[typing.Any] = []
+        self.pending_effects: list[typing.Any] = []
         self.members.start(now_ms)
 
     # State
@@ -200,7 +202,8 @@
 
     def _is_responsive(self, link: Link) -> bool:
         return (
-            link.led and self.now_ms - link.last_received_ms < UNRESPONSIVE_MS
+            link.leader_known
+            and self.now_ms - link.last_received_ms < UNRESPONSIVE_MS
         )
 
     def is_cross_domain(self, host: str) -> bool:
@@ -212,7 +215,7 @@
     def hello(self) -> messages.Hello:
         """Return the hello message for a subscribed link."""
         return messages.Hello(
-            host=self.me,
+            host=self.local_host,
             domain=self.members.record.domain,
             address=self.members.record.address,
             incarnation=self.members.record.incarnation,
@@ -302,7 +305,7 @@
         link = self.links.get(peer)
         if link is not None:
             link.last_received_ms = now_ms
-        handle(message, self, peer)
+        handle_message(message, self, peer)
         return self._flush()
 
     def publish(
@@ -365,7 +368,7 @@
             self._send(
                 query.host,
                 messages.FloorReply(
-                    query.nonce, revision, False, self.me, voters
+                    query.nonce, revision, False, self.local_host, voters
                 ),
             )
         return self._flush()
@@ -389,39 +392,40 @@
     # Output
 
     def _send(self, peer: str, message: typing.Any) -> None:
-        self.out.append(common.Send(peer, message))
+        self.pending_effects.append(common.Send(peer, message))
 
     def _flush(self) -> list[typing.Any]:
-        self.out.extend(self.members.out)
-        self.members.out = []
+        self.pending_effects.extend(self.members.pending_effects)
+        self.members.pending_effects = []
         flood, self.members.flood = self.members.flood, []
         if flood:
             self._queue_updates(flood, "")
-        effect_count = len(self.config.out)
-        self.out.extend(self.config.out)
-        self.config.out = []
+        effect_count = len(self.config.pending_effects)
+        self.pending_effects.extend(self.config.pending_effects)
+        self.config.pending_effects = []
         if effect_count:
             self._after_config_change()
-        out = self.out
-        self.out = []
-        return out
+        pending_effects = self.pending_effects
+        self.pending_effects = []
+        return pending_effects
 
     def _after_config_change(self) -> None:
         changed = any(
-            isinstance(effect, effects.PutInForce) for effect in self.out
+            isinstance(effect, effects.PutInForce)
+            for effect in self.pending_effects
         )
         if changed:
             served = [link.host for link in self.links.values() if link.served]
             self.config.push(served)
-            self.out.extend(self.config.out)
-            self.config.out = []
+            self.pending_effects.extend(self.config.pending_effects)
+            self.config.pending_effects = []
         self._report_own()
 
     def _report_own(self) -> None:
         if self.control:
             return
         report = messages.Report(
-            host=self.me,
+            host=self.local_host,
             incarnation=self.members.record.incarnation,
             revision=self.config.in_force.revision,
             rejected=self.config.rejected,
@@ -490,7 +494,7 @@
                 continue
             if self.overlay.may_dial(host, self.now_ms):
                 address = self.overlay.address(host)
-                self.out.append(effects.Dial(host, address))
+                self.pending_effects.append(effects.Dial(host, address))
 
     def _disconnect_old_uplink(self) -> None:
         """Disconnect the old uplink, now that the new one is linked.
@@ -507,7 +511,7 @@
         """Close a link unless that was already requested."""
         if not link.disconnecting:
             link.disconnecting = True
-            self.out.append(effects.Disconnect(link.host))
+            self.pending_effects.append(effects.Disconnect(link.host))
 
     def _uplink_is_unresponsive(self) -> bool:
         """Return whether the uplink may be missing newer configurations.
@@ -543,7 +547,7 @@
                 # A connection can stop delivering data while new ones work.
                 # Waiting for its error would leave this proxy on an old
                 # configuration for as long as the kernel retries.
-                self.out.append(
+                self.pending_effects.append(
                     common.Note("link.silent", {"peer": link.host})
                 )
                 self._disconnect(link)
@@ -566,7 +570,7 @@
             revision=self.config.held.revision,
             config_digest=self.config.held.digest,
             records_digest=self.members.records.digest,
-            led=self.led,
+            led=self.leader_known,
         )
 
     def set_leader(self, leader: str) -> None:
@@ -580,16 +584,16 @@
             self.leader = leader
             self.reports.resend_all()
 
-    def set_leader_known(self, led: bool) -> None:
+    def set_leader_known(self, leader_known: bool) -> None:
         """Announce in the next heartbeat whether a leader is known here."""
-        if led != self.led:
-            self.led = led
+        if leader_known != self.leader_known:
+            self.leader_known = leader_known
             self.heartbeat_at_ms = self.now_ms
 
     def _forward_reports(self) -> None:
         """Send new reports to the uplink, or to the leader (control hosts)."""
         peer = self.leader if self.control else self.report_peer
-        if peer == self.me:
+        if peer == self.local_host:
             self.reports.pending = {}
         elif peer in self.links:
             due = self.reports.take_pending(self.now_ms)
@@ -604,10 +608,10 @@
         )
         link = self.links.get(peer)
         if link is not None:
-            if heartbeat.led and not link.led:
+            if heartbeat.led and not link.leader_known:
                 # Queries sent before a leader was known got no reply.
                 self.config.query_floor_if_unproved(peer)
-            link.led = bool(heartbeat.led)
+            link.leader_known = bool(heartbeat.led)
             self._compare_records(link, heartbeat.records_digest)
 
     def on_reports(self, peer: str, message: messages.Reports) -> None:
@@ -676,15 +680,21 @@
             )
             self.floor_relays.pop(self.floor_nonce - MAX_FLOOR_RELAYS, None)
             if self.control:
-                self.out.append(effects.AskFloor(self.floor_nonce, self.me))
+                self.pending_effects.append(
+                    effects.AskFloor(self.floor_nonce, self.local_host)
+                )
             else:
-                forwarded = messages.FloorQuery(self.floor_nonce, self.me)
+                forwarded = messages.FloorQuery(
+                    self.floor_nonce, self.local_host
+                )
                 self._send(self._control_link(), forwarded)
         revision = self.config.confirmed_revision()
         if revision >= 0:
             self._send(
                 peer,
-                messages.FloorReply(query.nonce, revision, False, self.me),
+                messages.FloorReply(
+                    query.nonce, revision, False, self.local_host
+                ),
             )
 
     def _control_link(self) -> str:
@@ -705,62 +715,64 @@
         if query is not None:
             self._send(
                 query.host,
-                messages.FloorReply(query.nonce, revision, True, self.me),
+                messages.FloorReply(
+                    query.nonce, revision, True, self.local_host
+                ),
             )
 
 
 @functools.singledispatch
-def handle(message: typing.Any, node: Node, peer: str) -> None:
+def handle_message(message: typing.Any, node: Node, peer: str) -> None:
     """Handle a message between fleet cores; other types are ignored."""
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.Heartbeat, node: Node, peer: str) -> None:
     node.on_heartbeat(peer, message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.Reports, node: Node, peer: str) -> None:
     node.on_reports(peer, message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.ConfigDelta, node: Node, peer: str) -> None:
     node.config.on_delta(peer, message, node.now_ms)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.ConfigPull, node: Node, peer: str) -> None:
     node.config.on_pull(peer, message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.HeldNotice, node: Node, peer: str) -> None:
     node.config.on_peer_revision(peer, message.revision, 0, node.now_ms)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.RecordsDelta, node: Node, peer: str) -> None:
     updates = node.members.on_delta(message, node.now_ms)
     if updates:
         node._queue_updates(updates, peer)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.RecordsSummary, node: Node, peer: str) -> None:
     node.on_summary(peer, message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.FloorQuery, node: Node, peer: str) -> None:
     node.on_floor_query(peer, message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.ControlHosts, node: Node, peer: str) -> None:
     node._update_controls(message, peer)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.FloorReply, node: Node, peer: str) -> None:
     node.on_floor_reply(message)
--- a/libs/fleet/src/trefoil_fleet/overlay.py
+++ b/libs/fleet/src/trefoil_fleet/overlay.py
@@ -29,7 +29,7 @@
     """Chooses the links that this process dials.
 
     Args:
-        me: Name of this host.
+        local_host: Name of this host.
         domain: Failure domain of this host.
         control: Whether this is a control process.
         seeds: Address of each seed of the failure domain by name.
@@ -39,7 +39,7 @@
     """
 
     __slots__ = (
-        "me",
+        "local_host",
         "domain",
         "control",
         "seeds",
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        me: str,
+        local_host: str,
         *,
         domain: str = "",
         control: bool,
@@ -66,7 +66,7 @@
         controls: dict[str, str],
         rng: random.Random,
     ) -> None:
-        self.me = me
+        self.local_host = local_host
         self.domain = domain
         self.control = control
         self.seeds = seeds
@@ -85,17 +85,17 @@
     @property
     def is_seed(self) -> bool:
         """Return whether this process is a seed of its failure domain."""
-        return self.me in self.seeds
+        return self.local_host in self.seeds
 
     def _uplinks(self) -> list[str]:
         if self.control:
             return []
-        ranked = hashing.rank(self.me, self.controls)
+        ranked = hashing.rank(self.local_host, self.controls)
         same_domain = [n for n in ranked if self.domains.get(n) == self.domain]
         controls = same_domain + [n for n in ranked if n not in same_domain]
         if self.is_seed:
             return controls
-        return list(hashing.rank(self.me, self.seeds)) + controls
+        return list(hashing.rank(self.local_host, self.seeds)) + controls
 
     @property
     def uplink(self) -> str:
@@ -117,7 +117,11 @@
 
     def on_hello(self, hello: messages.Hello) -> None:
         """Add the control process that sent a hello."""
-        if not hello.control or hello.host == self.me or not hello.address:
+        if (
+            not hello.control
+            or hello.host == self.local_host
+            or not hello.address
+        ):
             return
         self.domains[hello.host] = hello.domain or ""
         self._set_controls(self.controls | {hello.host: hello.address})
@@ -133,7 +137,7 @@
         if control_hosts.number <= self.control_hosts.number:
             return False
         self.control_hosts = control_hosts
-        hosts = [h for h in control_hosts.hosts if h.name != self.me]
+        hosts = [h for h in control_hosts.hosts if h.name != self.local_host]
         addresses = {h.name: h.address for h in hosts if h.address}
         self.domains.update({h.name: h.domain or "" for h in hosts})
         self._set_controls(self.configured | addresses)
@@ -168,10 +172,10 @@
         if self.control:
             wanted |= self._wanted_controls(now_ms)
         if self.is_seed:
-            wanted |= {name for name in self.seeds if name > self.me}
+            wanted |= {name for name in self.seeds if name > self.local_host}
         if extra:
             wanted |= set(self.seeds or self.controls)
-        wanted.discard(self.me)
+        wanted.discard(self.local_host)
         return sorted(wanted)
 
     def _wanted_controls(self, now_ms: int) -> set[str]:
@@ -185,7 +189,10 @@
         wanted = set()
         for name in self.controls:
             since_ms = self.unlinked_ms.setdefault(name, now_ms)
-            if name > self.me or now_ms - since_ms >= UNKNOWN_PEER_DIAL_MS:
+            if (
+                name > self.local_host
+                or now_ms - since_ms >= UNKNOWN_PEER_DIAL_MS
+            ):
                 wanted.add(name)
         return wanted
 
--- a/libs/fleet/tests/test_overlay.py
+++ b/libs/fleet/tests/test_overlay.py
@@ -12,14 +12,14 @@
 CONFIGURED = {"c1": "c1:1", "c2": "c2:1"}
 
 
-def overlay(me: str, *, control: bool = False) -> overlays.Overlay:
+def overlay(local_host: str, *, control: bool = False) -> overlays.Overlay:
     """Return the overlay of a process in failure domain d3."""
     return overlays.Overlay(
-        me,
+        local_host,
         domain="d3",
         control=control,
         seeds={},
-        controls={k: v for k, v in CONFIGURED.items() if k != me},
+        controls={k: v for k, v in CONFIGURED.items() if k != local_host},
         rng=random.Random(1),
     )
 
@@ -104,10 +104,10 @@
 
 
 def receive_heartbeat(
-    node: nodes.Node, peer: str, led: bool, now_ms: int
+    node: nodes.Node, peer: str, leader_known: bool, now_ms: int
 ) -> list[typing.Any]:
     """Deliver a heartbeat from a peer and run a tick."""
-    message = messages.Heartbeat(0, 0, 0, led)
+    message = messages.Heartbeat(0, 0, 0, leader_known)
     return node.receive(peer, message, now_ms) + node.tick(now_ms)
 
 
--- a/libs/quorum/src/trefoil_quorum/raft.py
+++ b/libs/quorum/src/trefoil_quorum/raft.py
@@ -183,7 +183,7 @@
         "heartbeat_at_ms",
         "quorum_check_at_ms",
         "reads",
-        "out",
+        "pending_effects",
         "now_ms",
     )
 
@@ -225,7 +225,7 @@
         self.heartbeat_at_ms = 0
         self.quorum_check_at_ms = 0
         self.reads: list[Read] = []
-        self.out: list[typing.Any] = []
+        self.pending_effects: list[typing.Any] = []
         self.now_ms = now_ms
         self.election_at_ms = 0
         self._update_config()
@@ -285,7 +285,7 @@
             now_ms: Current time on the runtime's clock.
         """
         self.now_ms = now_ms
-        handle(message, self, sender)
+        handle_message(message, self, sender)
         return self._flush()
 
     def propose(
@@ -364,7 +364,7 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self.reads = []
-        self.out = []
+        self.pending_effects = []
 
     def change_voters(
         self, voters: list[str], learners: list[str], now_ms: int
@@ -415,7 +415,7 @@
             pre_vote=pre_vote,
         )
         for peer in self._other_voters():
-            self.out.append(common.Send(peer, request))
+            self.pending_effects.append(common.Send(peer, request))
         self._count_votes()
 
     def _count_votes(self) -> None:
@@ -436,7 +436,9 @@
         self.quorum_check_at_ms = self.now_ms + self.election_ms
         self._append(encode_command(messages.Noop(term=self.term)))
         self._sync_progress()
-        self.out.append(common.Note("quorum.leading", {"term": self.term}))
+        self.pending_effects.append(
+            common.Note("quorum.leading", {"term": self.term})
+        )
         self._broadcast()
         self._advance_commit()
 
@@ -444,13 +446,13 @@
         if term > self.term:
             self._save_hard_state(term, "")
         if self.is_leader:
-            self.out.append(
+            self.pending_effects.append(
                 common.Note("quorum.stepped_down", {"term": self.term})
             )
         self.role = Role.FOLLOWER
         self.leader = leader
         for read in self.reads:
-            self.out.append(effects.ReadFailed(read.read_id))
+            self.pending_effects.append(effects.ReadFailed(read.read_id))
         self.reads = []
         self._reset_election_timer()
 
@@ -458,7 +460,7 @@
         self.hard_state = messages.HardState(
             term=term, voted_for=voted_for, identity=self.identity
         )
-        self.out.append(effects.SaveHardState(self.hard_state))
+        self.pending_effects.append(effects.SaveHardState(self.hard_state))
 
     def on_vote_request(self, request: messages.VoteRequest) -> None:
         """Reply to a vote or pre-vote request."""
@@ -504,7 +506,7 @@
             granted=granted,
             pre_vote=request.pre_vote,
         )
-        self.out.append(common.Send(request.candidate, reply))
+        self.pending_effects.append(common.Send(request.candidate, reply))
 
     def on_vote_reply(self, reply: messages.VoteReply) -> None:
         """Count a granted vote, or step down if the voter's term is newer."""
@@ -554,7 +556,7 @@
             index=self.log.last_index + 1, term=self.term, command=command
         )
         self.log.append(entry)
-        self.out.append(effects.AppendLog([entry]))
+        self.pending_effects.append(effects.AppendLog([entry]))
         return entry.index
 
     def _broadcast(self) -> None:
@@ -574,7 +576,7 @@
             if self.now_ms < progress.snapshot_retry_ms:
                 return
             progress.snapshot_retry_ms = self.now_ms + FOLLOWER_TIMEOUT_MS
-            self.out.append(
+            self.pending_effects.append(
                 common.Send(
                     peer,
                     messages.SnapshotRequest(
@@ -595,7 +597,7 @@
             round=self.round,
         )
         progress.next_index += len(request.entries)
-        self.out.append(common.Send(peer, request))
+        self.pending_effects.append(common.Send(peer, request))
 
     def _batch_for(self, progress: Progress) -> list[messages.Entry]:
         """Return the entries to send to a follower now.
@@ -691,7 +693,7 @@
                 or self._acked_round(voter) >= read.round
             )
             if acks >= self.majority and self.applied >= read.index:
-                self.out.append(effects.ReadReady(read.read_id))
+                self.pending_effects.append(effects.ReadReady(read.read_id))
             else:
                 pending.append(read)
         self.reads = pending
@@ -747,7 +749,9 @@
             added.append(entry)
             self.log.append(entry)
         if added:
-            self.out.append(effects.AppendLog(added, truncate_from))
+            self.pending_effects.append(
+                effects.AppendLog(added, truncate_from)
+            )
             self._update_config()
         return max(
             request.prev_index + len(request.entries), self.log.base_index
@@ -763,7 +767,7 @@
             match_index=match_index,
             round=round_number,
         )
-        self.out.append(common.Send(leader, reply))
+        self.pending_effects.append(common.Send(leader, reply))
 
     def on_snapshot(self, request: messages.SnapshotRequest) -> None:
         """Install a snapshot from the leader and reply."""
@@ -780,9 +784,11 @@
             self.log.compact(snapshot.last_index, snapshot.last_term)
             self.snapshot = snapshot
             if not keep:
-                self.out.append(effects.AppendLog([], snapshot.last_index + 1))
-            self.out.append(effects.SaveSnapshot(snapshot))
-            self.out.append(effects.Restore(snapshot))
+                self.pending_effects.append(
+                    effects.AppendLog([], snapshot.last_index + 1)
+                )
+            self.pending_effects.append(effects.SaveSnapshot(snapshot))
+            self.pending_effects.append(effects.Restore(snapshot))
             self.commit = snapshot.last_index
             self.applied = snapshot.last_index
             self._update_config()
@@ -795,7 +801,9 @@
     def _apply(self) -> None:
         while self.applied < self.commit:
             self.applied += 1
-            self.out.append(effects.Apply(self.log.entry(self.applied)))
+            self.pending_effects.append(
+                effects.Apply(self.log.entry(self.applied))
+            )
 
     def _other_voters(self) -> list[str]:
         return [peer for peer in self.voters if peer != self.identity]
@@ -908,48 +916,48 @@
                 and self.now_ms - progress.acked_ms >= VOTER_REMOVAL_MS
             ):
                 remaining = [peer for peer in self.voters if peer != voter]
-                self.out.append(
+                self.pending_effects.append(
                     common.Note("quorum.voter_dropped", {"voter": voter})
                 )
                 self._append_voter_change(remaining, self.learners)
                 return
 
     def _flush(self) -> list[typing.Any]:
-        out = self.out
-        self.out = []
-        return out
+        pending_effects = self.pending_effects
+        self.pending_effects = []
+        return pending_effects
 
 
 @functools.singledispatch
-def handle(message: typing.Any, raft: Raft, sender: str) -> None:
+def handle_message(message: typing.Any, raft: Raft, sender: str) -> None:
     """Pass a Raft message to its handler; ignore other messages."""
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.VoteRequest, raft: Raft, sender: str) -> None:
     raft.on_vote_request(message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.VoteReply, raft: Raft, sender: str) -> None:
     raft.on_vote_reply(message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.AppendRequest, raft: Raft, sender: str) -> None:
     raft.on_append(message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.AppendReply, raft: Raft, sender: str) -> None:
     raft.on_append_reply(message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.SnapshotRequest, raft: Raft, sender: str) -> None:
     raft.on_snapshot(message)
 
 
-@handle.register
+@handle_message.register
 def _(message: messages.JoinRequest, raft: Raft, sender: str) -> None:
     raft.on_join(message)
