--- a/libs/fleet/src/trefoil_fleet/exclusions.py
+++ b/libs/fleet/src/trefoil_fleet/exclusions.py
@@ -32,5 +32,5 @@
         )
 
     def contains(self, record: messages.HostRecord) -> bool:
-        """Return whether the targets of a host get no requests."""
+        """Return whether the targets of a host are excluded."""
         return record.host in self.hosts or record.domain in self.domains
--- a/libs/fleet/src/trefoil_fleet/items.py
+++ b/libs/fleet/src/trefoil_fleet/items.py
@@ -42,7 +42,7 @@
 
 
 def digest_of(item: messages.Item) -> int:
-    """Return an item's share of the digest, 0 for a deleted item."""
+    """Return an item's part of the digest, 0 for a deleted item."""
     if item.deleted:
         return 0
     prefix = f"{item.key}\0{item.revision}\0".encode()
--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -192,17 +192,17 @@
                 effects.Probe(chosen.host, chosen.address)
             )
 
-    def _refute(self, seen: messages.HostRecord, now_ms: int) -> None:
+    def _refute(self, reported: messages.HostRecord, now_ms: int) -> None:
         """Publish a newer record if a peer's record of this host is newer."""
         own = self.record
-        if record_store.version_of(seen) <= record_store.version_of(own):
+        if record_store.version_of(reported) <= record_store.version_of(own):
             return
-        if seen.incarnation > own.incarnation:
-            own.incarnation = seen.incarnation + 1
-        own.sequence = max(own.sequence, seen.sequence)
+        if reported.incarnation > own.incarnation:
+            own.incarnation = reported.incarnation + 1
+        own.sequence = max(own.sequence, reported.sequence)
         self._publish_next_version(now_ms)
         self.pending_effects.append(
-            common.Note("member.refuted", {"seen": seen.state})
+            common.Note("member.refuted", {"seen": reported.state})
         )
 
     def _publish_next_version(
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -20,8 +20,8 @@
 HEARTBEAT_MS = 1000
 LINK_TIMEOUT_MS = 3500
 # Close to two heartbeat intervals: one heartbeat was lost, or its sender has
-# stalled. Links to other control hosts cost little compared with a stale
-# configuration, so this may be less certain than LINK_TIMEOUT_MS.
+# stalled. Extra links to control hosts cost little compared with a stale
+# configuration, so this may give more false alarms than LINK_TIMEOUT_MS.
 UNRESPONSIVE_MS = 1800
 # Time without an uplink after which other control hosts are dialled as well.
 # A successful dial takes a round trip; one to a host that does not answer
--- a/libs/fleet/src/trefoil_fleet/records.py
+++ b/libs/fleet/src/trefoil_fleet/records.py
@@ -1,6 +1,7 @@
 """Records of hosts, ordered by incarnation and sequence.
 
-Only the host itself writes its record; others may only worsen its state.
+Only the host itself publishes new versions of its record. Other hosts may
+only change its state from alive to suspect or dead.
 """
 
 import collections.abc
@@ -26,7 +27,7 @@
 
 
 def hash_of(record: messages.HostRecord) -> int:
-    """Return a record's share of the digest, 0 for a host that left or died.
+    """Return a record's part of the digest, 0 for a host that left or died.
 
     Suspicion is not part of it: it lasts seconds and then ends by itself.
     """
--- a/libs/fleet/tests/test_node.py
+++ b/libs/fleet/tests/test_node.py
@@ -426,12 +426,12 @@
 def test_record_update_is_sent_once_to_each_control_host() -> None:
     """Each is linked to all others, and would get forwarded copies of it."""
     node = linked_control(["c1", "c2", "c3"], ["p1", "p2"])
-    news = messages.HostRecord(
+    update = messages.HostRecord(
         "p9", "d", "r", "p9:1", 1, 1, messages.HostState.ALIVE, []
     )
-    emitted = node.receive("c1", messages.RecordsDelta([news]), 100)
+    emitted = node.receive("c1", messages.RecordsDelta([update]), 100)
     assert peers_sent_records(emitted) == ["p1", "p2"]
-    newer = record_store.with_state(news, messages.HostState.LEFT)
+    newer = record_store.with_state(update, messages.HostState.LEFT)
     newer.sequence = 2
     emitted = node.receive("p1", messages.RecordsDelta([newer]), 300)
     assert peers_sent_records(emitted) == ["c1", "c2", "c3", "p2"]
@@ -442,10 +442,10 @@
     node = linked_control(["c1"], ["p1", "p2"])
     emitted = []
     for number in range(30):
-        news = messages.HostRecord(
+        update = messages.HostRecord(
             f"h{number}", "d", "r", "h:1", 1, 1, messages.HostState.ALIVE, []
         )
-        emitted += node.receive("p1", messages.RecordsDelta([news]), 100)
+        emitted += node.receive("p1", messages.RecordsDelta([update]), 100)
     assert peers_sent_records(emitted) == ["c1", "p2"]
     assert peers_sent_records(node.tick(150)) == []
     later = node.tick(200)
--- a/libs/quorum/src/trefoil_quorum/raft.py
+++ b/libs/quorum/src/trefoil_quorum/raft.py
@@ -230,8 +230,8 @@
         self.election_at_ms = 0
         self._update_config()
         self.leader_seen = False
-        # A sole voter starts an election at once. With more voters there is no
-        # reachable peer to ask for a vote yet.
+        # A single voter starts an election at once. With more voters, no peer
+        # is reachable yet that could be asked for a vote.
         only_voter = self.majority == 1
         first_ms = 0 if only_voter else election_ms // 4
         self.election_at_ms = (
@@ -360,7 +360,7 @@
             self.election_at_ms = min(self.election_at_ms, staggered_ms)
 
     def retire(self) -> None:
-        """Drop leadership and pending reads; the core is not used again."""
+        """Drop leadership and pending reads before the core is discarded."""
         self.role = Role.FOLLOWER
         self.leader = ""
         self.reads = []
