--- a/libs/daemon/src/trefoil_daemon/facade.py
+++ b/libs/daemon/src/trefoil_daemon/facade.py
@@ -26,7 +26,7 @@
         """Close a subscribed link."""
 
     def probe(self, host: str, address: str) -> None:
-        """Connect to a peer once; the engine's ``probed`` is told."""
+        """Connect to a peer once and call the engine's ``on_probe_result``."""
 
     def tell(self, host: str, address: str, message: typing.Any) -> bool:
         """Send on a request link; False if the peer can't be reached."""
