--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -812,7 +812,7 @@
 def _(
     message: messages.CrashNotice, process: ControlProcess, host: str
 ) -> None:
-    if process.quarantine.hear(message, process.clock.now_ms()):
+    if process.quarantine.receive(message, process.clock.now_ms()):
         for peer in process.node.links:
             if peer != host:
                 process.carrier.link_send(peer, message)
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -316,7 +316,7 @@
                 )
 
     def _on_notice(self, source: str, notice: messages.CrashNotice) -> None:
-        if self.quarantine.hear(notice, self.clock.now_ms()):
+        if self.quarantine.receive(notice, self.clock.now_ms()):
             self._flood(notice, source)
 
     def _flood(self, notice: messages.CrashNotice, source: str) -> None:
@@ -534,7 +534,9 @@
         self._guard(now_ms)
         self._report(now_ms)
         self._tell_of_targets(now_ms)
-        self.perform(self.spending.tell(self.entry.accounting.budgets, now_ms))
+        self.perform(
+            self.spending.report(self.entry.accounting.budgets, now_ms)
+        )
         self._hand_over_in_time(now_ms)
         self.relay.tick(now_ms)
 
@@ -720,7 +722,7 @@
 
 @carry.register
 def _(effect: request_effects.BroadcastNotice, process: ProxyProcess) -> None:
-    process.quarantine.hear(effect.notice, process.clock.now_ms())
+    process.quarantine.receive(effect.notice, process.clock.now_ms())
     process._flood(effect.notice, "")
 
 
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -552,14 +552,14 @@
     call = calls.Call(9, "POST", "x", "/read", body=b"a")
     prints = [call.fingerprint(), 1]
     first = messages.CrashNotice(1, prints, 0, False)
-    process.quarantine.hear(first, now_ms)
+    process.quarantine.receive(first, now_ms)
     net.call("h1", "/read", "a")
     net.settle()
     for host, request_id in net.running():
         net.target_answers(host, request_id)
     net.settle()
     second = messages.CrashNotice(2, prints, 0, False)
-    process.quarantine.hear(second, now_ms)
+    process.quarantine.receive(second, now_ms)
     assert not process.quarantine.refuses(call.fingerprint(), now_ms)
     assert process.quarantine.refuses(1, now_ms)
 
--- a/libs/requests/src/trefoil_requests/accounts.py
+++ b/libs/requests/src/trefoil_requests/accounts.py
@@ -45,9 +45,9 @@
     def set_reserve(self, reserve: float) -> None:
         """Set this proxy's share of the repeats beyond the ratios.
 
-        All proxies together must stay within one slack for each service.
-        Their shares are equal, so that the sum also holds while some proxies
-        are partitioned from the others.
+        All proxies together must stay within one retry slack for each
+        service. Their shares are equal, so that the sum also holds while some
+        proxies are partitioned from the others.
         """
         self.reserve = reserve
         for service_budget in self.budgets.values():
@@ -61,7 +61,7 @@
         """
         return service in self.budgets
 
-    def left(self, service: str) -> float:
+    def remaining(self, service: str) -> float:
         """Return how many repeats the budget of a service allows now."""
         return self.budgets[service].tokens
 
@@ -86,7 +86,7 @@
             service_budget.refund()
 
     def arrived(self, service: str) -> None:
-        """Record that a repeat reached its target, or that it never will."""
+        """Record that a repeat reached its target or was dropped."""
         service_budget = self.budgets.get(service)
         if service_budget is not None:
             service_budget.arrived()
--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -172,7 +172,7 @@
                     expected_us += self._body_wait_us(endpoint, now_ms)
             expected_us *= self.rng.uniform(1 - JITTER, 1 + JITTER)
             return urgency.loss(
-                expected_us, far=endpoint.domain != self.domain
+                expected_us, cross_domain=endpoint.domain != self.domain
             )
 
         return min(candidates, key=loss)
--- a/libs/requests/src/trefoil_requests/bodies.py
+++ b/libs/requests/src/trefoil_requests/bodies.py
@@ -28,7 +28,7 @@
 # faster ones is an outlier and does not lower the rate.
 RATE_SAMPLES = 7
 OUTLIERS_PER_END = 2
-# Time for some ten bodies on a link of 5.5 Mbit/s.
+# Enough for about ten bodies on a link of 5.5 Mbit/s.
 UTILIZATION_WINDOW_MS = 1000
 MIN_FREE_SHARE = 0.001
 # A sender that is partitioned or suspended must not block the others.
@@ -59,7 +59,7 @@
         requested: Number of bytes requested so far.
         start_bytes: Number of bytes received before its turn started.
         turn_started_ms: When its turn started.
-        last_progress_ms: When its turn started or its last chunk came.
+        last_progress_ms: When its turn started or its last chunk arrived.
         slow: Whether its sender is too slow to fill the link.
         stalled: Whether its sender stopped sending.
     """
@@ -178,7 +178,7 @@
     def finish_sample(self, now_ms: int) -> float:
         """Finish a sample; return the mean rate in bytes per millisecond.
 
-        The slowest and the fastest samples are left out.
+        The slowest and the fastest samples are excluded as outliers.
         """
         self.samples.append(
             self.received_bytes / max(now_ms - self.since_ms, 1)
--- a/libs/requests/src/trefoil_requests/crossing.py
+++ b/libs/requests/src/trefoil_requests/crossing.py
@@ -24,7 +24,7 @@
 LOG_LOGISTIC_SHAPE = 2.5
 
 
-def cost(kib: float) -> float:
+def cross_domain_cost(kib: float) -> float:
     """Return the cost of sending a call to another failure domain.
 
     The unit is the value of one answer in time; at most ``MAX_COST``.
@@ -49,36 +49,36 @@
 
 
 class Urgency:
-    """Time limits of a call and the cost of sending it to another domain.
+    """Time limits of a call and its cost in another failure domain.
 
     Args:
         latency_target_us: Time left until its latency target.
         deadline_us: Time left until its deadline, when its caller stops
             waiting.
-        far_cost: Cost of sending it to another failure domain, as a fraction
-            of the value of an answer in time.
+        cross_domain_cost: Cost of sending it to another failure domain, as a
+            fraction of the value of an answer in time.
     """
 
-    __slots__ = ("latency_target_us", "deadline_us", "far_cost")
+    __slots__ = ("latency_target_us", "deadline_us", "cross_domain_cost")
 
     def __init__(
         self,
         latency_target_us: float,
         deadline_us: float,
-        far_cost: float = 0.0,
+        cross_domain_cost: float = 0.0,
     ) -> None:
         self.latency_target_us = latency_target_us
         self.deadline_us = deadline_us
-        self.far_cost = far_cost
+        self.cross_domain_cost = cross_domain_cost
 
-    def loss(self, expected_us: float, *, far: bool) -> float:
+    def loss(self, expected_us: float, *, cross_domain: bool) -> float:
         """Return the expected loss of an answer's value, with byte costs.
 
         Args:
             expected_us: Expected time until the answer.
-            far: Whether the target is in another failure domain.
+            cross_domain: Whether the target is in another failure domain.
         """
         late = late_probability(expected_us, self.latency_target_us)
         unanswered = late_probability(expected_us, self.deadline_us)
         lost = late - LATE_ANSWER_VALUE * max(late - unanswered, 0.0)
-        return lost + self.far_cost if far else lost
+        return lost + self.cross_domain_cost if cross_domain else lost
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -22,7 +22,7 @@
 from . import ledger as ledgers
 from . import live as live_calls
 from . import observing
-from . import patience as originals
+from . import patience as original_deadlines
 from . import pending as pending_calls
 from . import placing as placements
 from . import quarantine as quarantines
@@ -43,7 +43,7 @@
 
 
 class LocalTargets(typing.Protocol):
-    """The local targets, as far as the entry core uses them."""
+    """The part of the local targets' interface that the entry core uses."""
 
     @property
     def services_key(self) -> str:
@@ -63,8 +63,8 @@
     Args:
         local_host: Name of this host.
         domain: Its failure domain.
-        ledger: This host's replica of the idempotency keys; its keeper sets
-            name the hosts that keep a key.
+        ledger: This host's replica of the idempotency keys; its replica sets
+            name the hosts that store a key.
         quarantine: Requests known to crash targets.
         targets: The targets on this host, which send their calls here.
         rng: Draws versions, targets and ids.
@@ -108,7 +108,7 @@
         self.ledger = ledger
         self.quarantine = quarantine
         self.rng = rng
-        self.original_deadlines = originals.OriginalDeadlines()
+        self.original_deadlines = original_deadlines.OriginalDeadlines()
         self.placement = placements.Placement(local_host, domain, rng)
         self.balancer = self.placement.balancer
         self.accounting = accounting.RetryBudgets()
@@ -133,7 +133,7 @@
     def records_changed(
         self, records: record_store.Records, now_ms: int
     ) -> None:
-        """Update endpoints and keeper sets from the hosts' records."""
+        """Update endpoints and replica sets from the hosts' records."""
         self.placement.records_changed(records, now_ms)
         self.ledger.sets.update(self.placement.endpoints.hosts_of, now_ms)
 
@@ -177,7 +177,7 @@
         return self._flush()
 
     def _add_to_budget(self, live: live_calls.LiveCall) -> None:
-        """Estimate if a request is a repeat's call, and account for it."""
+        """Credit the budget, or charge it for a call of a repeat."""
         if live.call.retried:
             live.repeat = 1.0
         else:
@@ -227,7 +227,7 @@
             claim_id=self._next_id(),
             key=key,
             fingerprint=live.fingerprint,
-            keepers=self.ledger.sets.keepers(service, key, now_ms),
+            keepers=self.ledger.sets.replicas(service, key, now_ms),
             service_name=service,
             issued_ms=issued_ms,
         )
@@ -239,7 +239,7 @@
     def on_claim_reply(
         self, reply: messages.ClaimReply, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Handle the reply of a host that keeps an idempotency key."""
+        """Handle the reply of a replica to the claim of a key."""
         self._apply_claim_results(
             self.claims.receive_reply(reply), now_ms, now_us
         )
@@ -325,7 +325,7 @@
         live = self.live.get(self.by_request.get(pull.request_id, -1))
         attempt = live.attempt_of(pull.request_id) if live else None
         if attempt is None:
-            # The request was cancelled; the target's proxy will be notified.
+            # The request was cancelled; the target's proxy is notified.
             return []
         end = pull.offset + pull.length
         chunk = messages.BodyPiece(
@@ -339,7 +339,7 @@
     def on_answer(
         self, answer: messages.Answer, now_ms: int, now_us: int
     ) -> list[typing.Any]:
-        """Handle an answer; one that is late or unknown is dropped.
+        """Handle an answer; drop one that is late or unknown.
 
         Each attempt has its own id, so an answer that arrives after a retry
         or after the deadline can't be matched to another call.
@@ -450,7 +450,7 @@
             self._finish_lost(
                 live,
                 502,
-                "the target broke the connection off before its answer",
+                "the target closed the connection before its answer",
             )
 
     def _on_unusable(
@@ -563,7 +563,7 @@
             target=first.endpoint.key,
             waited_ms=(now_us - first.sent_us) // 1000,
             also=endpoint.key,
-            budget=round(self.accounting.left(live.service), 1),
+            budget=round(self.accounting.remaining(live.service), 1),
         )
         live.paid = True
         self._send_to(live, endpoint, now_ms, now_us)
@@ -626,7 +626,8 @@
 
         A request that the target's proxy refused did not reach the target.
         It adds no load there and does not count as an attempt. A refusal by
-        the target itself used its time, so going on is an ordinary retry.
+        the target itself used its time, so sending it to
+        another one is an ordinary retry.
         """
         if answer.shed:
             return self._may_retry(live, budget.Cause.REFUSED, now_ms)
@@ -655,7 +656,7 @@
             target=live.endpoint.key,
             cause=cause,
             left_ms=live.deadline_at_ms - now_ms,
-            budget=round(self.accounting.left(live.service), 1),
+            budget=round(self.accounting.remaining(live.service), 1),
         )
         return granted
 
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -1,4 +1,4 @@
-"""Replicated ledger of idempotency keys: a once-only request runs once.
+"""Replicated ledger of idempotency keys for once-only requests.
 
 Each key has up to three replicas: the first by rendezvous hash among the hosts
 of the service, including those that left recently. A request runs only after
@@ -73,7 +73,7 @@
                 self.departed_until_ms.pop((service, host), None)
             self.hosts[service] = new
 
-    def keepers(self, service: str, key: int, now_ms: int) -> list[str]:
+    def replicas(self, service: str, key: int, now_ms: int) -> list[str]:
         """Return the replicas of a key, in rendezvous order."""
         departed = {
             host
@@ -163,7 +163,7 @@
             if record.claim_id == claim.claim_id:
                 return self._reply(claim, GRANTED)
             return self._reply(claim, TAKEN, self._answer_for(record, claim))
-        own_set = self.sets.keepers(claim.service_name, claim.key, now_ms)
+        own_set = self.sets.replicas(claim.service_name, claim.key, now_ms)
         same_view = sorted(own_set) == sorted(claim.keepers or ())
         # A claimant with another view of the hosts could get its majority
         # from other replicas than the claimant before it.
@@ -304,7 +304,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
+class PendingClaim:
     """A claim that waits for the replies of its replicas."""
 
     call_id: int
@@ -345,13 +345,13 @@
     __slots__ = ("pending",)
 
     def __init__(self) -> None:
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingClaim] = {}
 
     def begin(
         self, call_id: int, claim: messages.Claim, now_ms: int
     ) -> list[typing.Any]:
         """Send a claim to its replicas."""
-        self.pending[claim.claim_id] = Pending(
+        self.pending[claim.claim_id] = PendingClaim(
             call_id, claim, now_ms + CLAIM_TIMEOUT_MS
         )
         if not claim.keepers:
@@ -395,11 +395,11 @@
                 return self._release(pending)
         return []
 
-    def _give_up(self, pending: Pending) -> list[typing.Any]:
+    def _give_up(self, pending: PendingClaim) -> list[typing.Any]:
         self.pending.pop(pending.claim.claim_id, None)
         return self._release(pending) + [ClaimUndecided(pending.call_id)]
 
-    def _release(self, pending: Pending) -> list[typing.Any]:
+    def _release(self, pending: PendingClaim) -> list[typing.Any]:
         return release(pending.claim)
 
 
--- a/libs/requests/src/trefoil_requests/occupancy.py
+++ b/libs/requests/src/trefoil_requests/occupancy.py
@@ -48,7 +48,7 @@
         self.next_report_ms = 0
 
     def refuse(self, why: str) -> None:
-        """Count a refusal under its reason."""
+        """Count a refusal by its reason."""
         self.refused[why] += 1
 
     def body_came(self, took_ms: int) -> None:
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -215,7 +215,7 @@
 
     def _crossing_cost(self, route: messages.Route) -> float:
         """Return a call's cross-domain cost, in units of a timely answer."""
-        return crossing.cost(self._mean_kib(route))
+        return crossing.cross_domain_cost(self._mean_kib(route))
 
     def _mean_kib(self, route: messages.Route) -> float:
         """Return the mean KiB that a route's calls and answers carry."""
--- a/libs/requests/src/trefoil_requests/quarantine.py
+++ b/libs/requests/src/trefoil_requests/quarantine.py
@@ -50,11 +50,11 @@
         return len(current)
 
     def refuses(self, fingerprint: int, now_ms: int) -> bool:
-        """Tell whether a request must not run again."""
+        """Tell whether a request is quarantined and must not run again."""
         return self.crashes(fingerprint, now_ms) >= CRASHES_ALLOWED
 
-    def hear(self, notice: messages.CrashNotice, now_ms: int) -> bool:
-        """Apply a notice; return whether it is new and has to be forwarded."""
+    def receive(self, notice: messages.CrashNotice, now_ms: int) -> bool:
+        """Apply a notice; return whether it is new and must be forwarded."""
         if notice.notice_id in self.seen_notices:
             return False
         self._remember(notice.notice_id, now_ms)
--- a/libs/requests/src/trefoil_requests/spending.py
+++ b/libs/requests/src/trefoil_requests/spending.py
@@ -10,8 +10,9 @@
 class SpendingLog:
     """Reports each second what was spent, by service and cause.
 
-    Repeats are bounded over all hosts, but no host knows the sum. It is the
-    sum of these lines, for any window and service.
+    Repeats are bounded over the whole fleet, but no host knows their total.
+    The total of a service in any time window is the sum of these lines over
+    all hosts.
     """
 
     __slots__ = ("reported", "next_report_ms")
@@ -20,7 +21,7 @@
         self.reported: dict[str, dict[str, float]] = {}
         self.next_report_ms = 0
 
-    def tell(
+    def report(
         self, budgets: dict[str, budget.RetryBudget], now_ms: int
     ) -> list[common.Note]:
         """Return a line per service with repeats since the last report."""
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -23,7 +23,7 @@
 from . import quarantine as quarantines
 from . import warmup as warmups
 
-# Origin of requests that the proxy of this host forwards to itself.
+# Address of this proxy as the origin of requests that it sends to itself.
 LOCAL = "local"
 CRASH_WINDOW_MS = 50
 RECENT_REQUESTS = 4096
@@ -47,9 +47,9 @@
         port: Port on which it takes requests.
         slots: Admission control of its slots.
         draining: Whether it gets no new requests.
-        advertised_cold: Whether other proxies were last told that it is cold.
+        advertised_cold: Whether it was cold in its last advertised record.
         processing_time: Mean run time of its requests.
-        occupancy: Load since its last log line.
+        occupancy: Its load since its last log line.
     """
 
     record: messages.TargetRecord
@@ -200,18 +200,18 @@
             target.record.service_name for target in self.targets.values()
         )
 
-    def repeat_share(self, part: float) -> float:
+    def repeat_share(self, share: float) -> float:
         """Return the probability that a new request is a call of a repeat.
 
         Args:
-            part: Probability that the request is a call of a run here at all.
+            share: Probability that it is a call of a local run at all.
         """
-        is_dispatched = [
+        dispatched = [
             tracked
             for tracked in self.running.values()
             if tracked.is_dispatched
         ]
-        return self.parents.repeat_share(is_dispatched, part)
+        return self.parents.repeat_share(dispatched, share)
 
     def set_cold_limits(self, limits: dict[str, warmups.Limit]) -> None:
         """Set the rate limits of cold targets, by service."""
@@ -271,7 +271,7 @@
         if target is None:
             return []
         target.draining = True
-        self._refuse_waiting(name, "the target left", now_ms)
+        self._refuse_waiting(name, "the target was removed", now_ms)
         if not target.slots.running:
             self.targets.pop(name, None)
         return self._flush()
@@ -299,7 +299,7 @@
         """
         target = self.targets[name]
         if target.slots.warmup.limit is not None:
-            target.slots.warmup.presume(now_ms)
+            target.slots.warmup.assume_cold(now_ms)
             service = target.record.service_name
             self.out.append(effects.CheckWarmup(name, target.port, service))
 
@@ -395,7 +395,7 @@
         if self.evacuated:
             return EVACUATED
         if target is None:
-            return "the target is not here"
+            return "the target is not on this host"
         if target.draining:
             return "the target is draining"
         if target.record.version != request.version:
@@ -416,7 +416,7 @@
             self._admit_run(tracked, now_ms)
 
     def _admit_body(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """Request a body if its request can run then, or refuse it at once.
+        """Request a body if its request can run in time, or refuse at once.
 
         A refusal before any byte of the body is sent lets the request go to
         another host or its caller retry.
@@ -426,7 +426,7 @@
         if not self._may_request_body(tracked, estimate):
             self._refuse(
                 tracked,
-                "its body can't come in time",
+                "its body cannot arrive in time",
                 wait_ms=self._link_free_in_ms(),
                 full=True,
             )
@@ -608,7 +608,7 @@
         if target is None:
             return
         if answer.service_us and not target.is_cold(self.now_ms):
-            # A cold target is slow for seconds, which is reported separately.
+            # A cold target is slow for seconds; its state is reported instead.
             target.processing_time.add(answer.service_us)
         answer.usual_us = target.processing_time.usual_us
 
@@ -674,7 +674,7 @@
         )
 
     def _expire(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """End a request past its deadline or with a body too late."""
+        """End a request past its deadline or whose body is too late."""
         if tracked.is_dispatched:
             if now_ms >= tracked.deadline_at_ms:
                 self._time_out(tracked, now_ms)
@@ -682,7 +682,7 @@
             self._remove(tracked.request.request_id, now_ms)
             self._refuse(
                 tracked,
-                "its body did not come in time",
+                "its body did not arrive in time",
                 wait_ms=self._link_free_in_ms(),
             )
 
@@ -705,9 +705,9 @@
     def _check_crash(self, name: str, crash: Crash) -> None:
         """Check whether a target crashed or only closed connections.
 
-        Otherwise, if a running target broke one answer in fifty off, the
-        requests of its callers would be quarantined everywhere as the cause
-        of crashes.
+        Without the check, a running target that closes the connection of one
+        request in fifty would get its callers' requests quarantined by the
+        whole fleet as the cause of crashes.
         """
         target = self.targets.get(name)
         if target is None:
@@ -737,7 +737,7 @@
             answer = messages.Answer(
                 request_id=tracked.request.request_id,
                 status=502,
-                reason="the target broke its answer off",
+                reason="the target closed the connection before its answer",
                 ran=True,
                 unusable=True,
             )
@@ -761,7 +761,7 @@
         )
 
     def _report_crash(self, crash: Crash) -> None:
-        fingerprints = sorted({v.request.fingerprint for v in crash.requests})
+        fingerprints = sorted({t.request.fingerprint for t in crash.requests})
         sole = len(crash.requests) == 1
         notice = messages.CrashNotice(
             notice_id=self.rng.getrandbits(62),
@@ -769,14 +769,14 @@
             age_ms=0,
             cleared=False,
         )
-        self.quarantine.hear(notice, crash.first_break_ms)
+        self.quarantine.receive(notice, crash.first_break_ms)
         self.out.append(effects.BroadcastNotice(notice))
         for tracked in crash.requests:
             self._note("target.crashed", tracked, sole=sole)
             answer = messages.Answer(
                 request_id=tracked.request.request_id,
                 status=502,
-                reason="the target broke off",
+                reason="the target crashed",
                 ran=True,
                 crashed=True,
                 sole=sole,
--- a/libs/requests/src/trefoil_requests/warmup.py
+++ b/libs/requests/src/trefoil_requests/warmup.py
@@ -16,8 +16,8 @@
 # A target's report of its remaining warm-up is slightly out of date when it
 # arrives.
 MARGIN_MS = 50
-# One request is taken off the burst, since the limit counts whole requests
-# in any second.
+# The burst is one request smaller, since the limit counts whole requests in
+# any second.
 RESERVED_REQUESTS = 1.0
 
 
@@ -67,7 +67,7 @@
     __slots__ = (
         "limit",
         "cold_until_ms",
-        "presumed",
+        "assumed_cold",
         "tokens",
         "refilled_at_ms",
     )
@@ -75,7 +75,7 @@
     def __init__(self, limit: Limit | None) -> None:
         self.limit = limit
         self.cold_until_ms = 0
-        self.presumed = False
+        self.assumed_cold = False
         self.tokens = 0.0
         self.refilled_at_ms = 0
 
@@ -91,14 +91,14 @@
         """Record the remaining warm-up that the target announced.
 
         An announcement that it is warm may have been sent before it turned
-        cold, so it is ignored while the target is presumed cold.
+        cold, so it is ignored while the target is assumed cold.
         """
-        if left_ms or not (self.presumed and self.is_cold(now_ms)):
+        if left_ms or not (self.assumed_cold and self.is_cold(now_ms)):
             self.set_remaining(left_ms, now_ms)
 
     def set_remaining(self, left_ms: int, now_ms: int) -> None:
         """Set the remaining warm-up, as the target returned it on request."""
-        self.presumed = False
+        self.assumed_cold = False
         if not left_ms:
             self.cold_until_ms = min(self.cold_until_ms, now_ms)
             return
@@ -107,11 +107,11 @@
             self.refilled_at_ms = now_ms
         self.cold_until_ms = now_ms + left_ms + MARGIN_MS
 
-    def presume(self, now_ms: int) -> None:
-        """Presume that the target is cold until it reports its warm-up."""
+    def assume_cold(self, now_ms: int) -> None:
+        """Assume that the target is cold until it reports its warm-up."""
         if self.limit is not None:
             self.set_remaining(self.limit.lasts_ms, now_ms)
-            self.presumed = True
+            self.assumed_cold = True
 
     def may_start(self, now_ms: int) -> bool:
         """Tell whether the target may start a request now."""
--- a/libs/requests/tests/test_balancer.py
+++ b/libs/requests/tests/test_balancer.py
@@ -149,7 +149,9 @@
         target_balancer.started(f"{name}/t")
         target_balancer.answered(f"{name}/t", took_us)
     assert target_balancer.pick(both, WARM, now_ms=NOW_MS).host == "b"
-    urgency = crossing.Urgency(500_000, 2_000_000, crossing.cost(5))
+    urgency = crossing.Urgency(
+        500_000, 2_000_000, crossing.cross_domain_cost(5)
+    )
     chosen = target_balancer.pick(both, WARM, now_ms=NOW_MS, urgency=urgency)
     assert chosen.host == "a"
 
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -67,10 +67,10 @@
     """Otherwise two replicas of a key could change at once."""
     sets = ledgers.ReplicaSets()
     sets.update({"s": ["a", "b", "c", "d"]}, 0)
-    before = sets.keepers("s", 5, 0)
+    before = sets.replicas("s", 5, 0)
     sets.update({"s": [h for h in "abcd" if h != before[0]]}, 10)
-    assert sets.keepers("s", 5, 20) == before
-    after = sets.keepers("s", 5, 20 + ledgers.RETENTION_MS)
+    assert sets.replicas("s", 5, 20) == before
+    after = sets.replicas("s", 5, 20 + ledgers.RETENTION_MS)
     assert before[0] not in after
     assert set(before[1:]) <= set(after)
 
--- a/libs/requests/tests/test_overload.py
+++ b/libs/requests/tests/test_overload.py
@@ -7,7 +7,7 @@
 import typing
 
 from trefoil_requests import admission
-from trefoil_requests import patience as originals
+from trefoil_requests import patience as original_deadlines
 
 SLOTS = 6
 MEAN_MS = 90.0
@@ -43,7 +43,7 @@
     def __init__(self, load: float) -> None:
         self.rng = random.Random(1)
         self.gate = admission.AdmissionController(SLOTS)
-        self.original_deadline = originals.OriginalDeadlines()
+        self.original_deadline = original_deadlines.OriginalDeadlines()
         self.events: list[tuple[float, int, typing.Any]] = []
         self.ids = itertools.count(1)
         self.waiting: dict[int, Caller] = {}
@@ -138,8 +138,8 @@
 def test_below_capacity_nearly_all_answers_are_timely() -> None:
     """The score is 0.93 at nine tenths of the capacity.
 
-    It is 0.91 if returning callers count as new and the time of starts is
-    predicted from the mean alone.
+    It is 0.91 if a retry counts as a new request and start times are predicted
+    from the mean run time alone.
     """
     assert Simulation(0.9).run().score >= 0.92
 
@@ -147,9 +147,10 @@
 def test_in_overload_slots_go_to_timely_answers() -> None:
     """Guards against slots held by refused callers that retry too late.
 
-    If they count as new, they and callers that are slightly late take the
-    slots, and the score at 1.4 times the capacity is 0.41. With the time that
-    they waited and the usual run time it is 0.67; the optimum is 0.71.
+    If a retry counts as a new request, retries and requests that are slightly
+    late take the slots, and the score at 1.4 times the capacity is 0.41. With
+    the wait so far and the usual run time taken into account it is 0.67; the
+    optimum is 0.71.
     """
     assert Simulation(1.4).run().score >= 0.63
 
@@ -157,8 +158,7 @@
 def test_a_slight_overload_costs_little() -> None:
     """The score is 0.83 at 1.1 times the capacity.
 
-    It is 0.62 if returning callers count as new and the time of starts is
-    predicted from the mean alone.
+    Without these rules of admission it is 0.62.
     """
     assert Simulation(1.1).run().score >= 0.79
 
@@ -166,7 +166,6 @@
 def test_double_load_still_serves_nearly_half() -> None:
     """The score is 0.45 at twice the capacity.
 
-    It is 0.27 if returning callers count as new and the time of starts is
-    predicted from the mean alone.
+    Without these rules of admission it is 0.27.
     """
     assert Simulation(2.0).run().score >= 0.43
--- a/libs/requests/tests/test_pace.py
+++ b/libs/requests/tests/test_pace.py
@@ -5,13 +5,13 @@
 
 from trefoil_fleet import records
 from trefoil_requests import balancer as balancers
-from trefoil_requests import crossing as cross_domain
+from trefoil_requests import crossing as crossings
 from trefoil_requests import pace as processing_times
 from trefoil_requests import routing
 from trefoil_wire import messages
 
 # Answers of 5 KiB with a latency target of 626 ms.
-URGENCY = cross_domain.Urgency(626_000, 4_172_000, cross_domain.cost(5))
+URGENCY = crossings.Urgency(626_000, 4_172_000, crossings.cross_domain_cost(5))
 TARGETS = 48
 PROXIES = 30
 REQUESTS = 60
--- a/libs/requests/tests/test_target_side.py
+++ b/libs/requests/tests/test_target_side.py
@@ -129,7 +129,7 @@
 
 
 def test_the_targets_of_an_evacuated_domain_get_no_requests() -> None:
-    """Their own proxy still sent them requests queued before it."""
+    """Their own proxy sent them requests queued before the evacuation."""
     harness = Harness()
     harness.send(1)
     harness.send(2)
@@ -203,7 +203,7 @@
 
 
 def test_a_cold_target_is_advertised_with_its_rate() -> None:
-    """Proxies that took it for warm sent it calls that it then refused."""
+    """Proxies that assumed it warm sent it calls that were then refused."""
     harness = cold_harness()
     record = harness.core.advertised_record(TARGET, 0)
     assert record.state == messages.TargetState.COLD
--- a/libs/requests/tests/test_warmup.py
+++ b/libs/requests/tests/test_warmup.py
@@ -48,7 +48,7 @@
     """One target that turns cold at any time, under many requests.
 
     It turns cold by a restart, which it announces, or after an evacuation,
-    which its proxy presumes. Even if announcements arrive late, no second in
+    which its proxy assumes. Even if announcements arrive late, no second in
     which it is cold has more starts than allowed.
     """
 
@@ -103,12 +103,12 @@
         until_ms = self.now_ms - age_ms + LASTS_MS
         self.cold.append((self.now_ms - age_ms, until_ms))
         self.starts = []
-        self.gate.warmup.presume(self.now_ms)
+        self.gate.warmup.assume_cold(self.now_ms)
 
     @stateful.rule()
     def late_announcement(self) -> None:
-        """Deliver an announcement that is older than the presumption."""
-        if self.gate.warmup.presumed:
+        """Deliver an announcement that is older than the assumption."""
+        if self.gate.warmup.assumed_cold:
             self.gate.warmup.announce(0, self.now_ms)
 
     @stateful.rule()
