--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -41,7 +41,7 @@
 FAILURE_DECAY_MS = 3000
 # The usual run time reported in an answer is newer than the one in the host's
 # record for about as long as the record takes to be announced again.
-PACE_REPORT_TTL_MS = 2000
+USUAL_TIME_TTL_MS = 2000
 MAX_COMPARED = 12
 # Cross-domain targets are compared in case the local ones are full or slow.
 # The more local ones are compared, the less traffic crosses domains.
@@ -74,8 +74,8 @@
         load_reported_ms: When its load was last reported.
         failure_rate: Share of its recent answers that failed, 0 to 1.
         last_failure_ms: When an answer of it last failed.
-        pace_reported_ms: When its own proxy last reported its usual run time
-            in an answer.
+        usual_time_reported_ms: When its own proxy last reported its usual run
+            time in an answer.
         bodies_busy_until_ms: Time until which large bodies occupy its host's
             link.
         link_wait_us: How long its latest answer and the request for it waited
@@ -91,7 +91,7 @@
     load_reported_ms: int = 0
     failure_rate: float = 0.0
     last_failure_ms: int = 0
-    pace_reported_ms: int = 0
+    usual_time_reported_ms: int = 0
     bodies_busy_until_ms: int = 0
     link_wait_us: int = 0
     link_reported_ms: int = 0
@@ -201,8 +201,8 @@
         """Return how long a call to a target waits for links on its path.
 
         A target whose answers fill the link of its host still has free slots
-        and short run times. Judged by these alone it would get more and more
-        calls, and its answers would queue behind each other.
+        and short run times. If it were scored by these alone, it would get
+        more and more calls, and its answers would queue behind each other.
         """
         stats = self.target_stats(key)
         age_ms = min(now_ms - stats.link_reported_ms, LOAD_REPORT_TTL_MS)
@@ -286,7 +286,7 @@
         stats.consecutive_losses = 0
         if usual_us:
             stats.latency_us = usual_us
-            stats.pace_reported_ms = now_ms
+            stats.usual_time_reported_ms = now_ms
         elif not stats.latency_us:
             stats.latency_us = latency_us
         else:
@@ -310,7 +310,7 @@
         """Record whether a target's answer was a failure.
 
         Targets may fail some of their requests while they report themselves
-        healthy. Only their answers show it.
+        healthy, so only their answers reveal it.
         """
         stats = self.target_stats(key)
         if failed:
@@ -323,7 +323,7 @@
             stats.load_reported_ms = now_ms
 
     def lost(self, key: str, now_ms: int) -> None:
-        """Record a request that was lost or broke off without an answer."""
+        """Record a request whose connection broke before its answer."""
         stats = self.target_stats(key)
         stats.running = max(stats.running - 1, 0)
         stats.consecutive_losses += 1
@@ -333,8 +333,8 @@
     def timed_out(self, key: str, now_ms: int) -> None:
         """Record a request that reached its deadline without an answer.
 
-        One alone says little: in an overload all targets are late, and
-        avoiding them would remove the remaining capacity. Several in a row
+        A single one is weak evidence: in an overload all targets are late,
+        and avoiding them would remove the remaining capacity. Several in a row
         without an answer in between mean that the target stopped answering.
         """
         stats = self.target_stats(key)
@@ -379,7 +379,7 @@
         reported_us = endpoint.target.usual_us or 0
         if (
             reported_us
-            and now_ms - stats.pace_reported_ms > PACE_REPORT_TTL_MS
+            and now_ms - stats.usual_time_reported_ms > USUAL_TIME_TTL_MS
         ):
             return reported_us
         return stats.latency_us or reported_us
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -15,7 +15,7 @@
 # next. With two, a free slot among a dozen targets is found nearly always;
 # each rejection costs a round trip between proxies.
 MAX_FULL_TARGETS = 2
-# A call whose bytes cost at least this share of a timely answer's worth is not
+# A call whose bytes cost at least this share of a timely answer's value is not
 # sent to another failure domain if it may be rejected there.
 COSTLY_CROSSING = 0.1
 # Bytes sent to another host pass both hosts' links. On links of 4 Mbit/s, one
@@ -25,8 +25,8 @@
 # Averages over about twenty calls. A route's usual run time is known within
 # seconds of its first call, and one long call does not make it look slow.
 MEAN_WEIGHT = 0.05
-# Lowest status that is the target's fault. Errors of the caller (4xx) say
-# nothing about the target.
+# Lowest status that is the target's fault. Errors of the caller (4xx) are not
+# evidence against the target.
 MIN_TARGET_FAULT_STATUS = 500
 
 
--- a/libs/requests/tests/test_bodies.py
+++ b/libs/requests/tests/test_bodies.py
@@ -176,7 +176,7 @@
 
 
 def test_chunks_of_a_stalled_sender_are_not_requested_again() -> None:
-    """A resumed proxy sent a part of its body twice over a narrow link."""
+    """Guards against a resumed sender that transfers chunks twice."""
     incoming = bodies.IncomingBodies()
     incoming.add(1, "a", 30_000, 500, 0)
     incoming.add(2, "b", 30_000, 900, 0)
@@ -200,7 +200,7 @@
 
 
 def test_bodies_are_transferred_beside_one_with_a_slow_sender() -> None:
-    """A sender at a tenth of the link's rate blocked the link for 0.9 s."""
+    """A sender at a tenth of the link's rate would block it for 0.9 s."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     for number, origin in enumerate("abcde"):
@@ -215,9 +215,9 @@
 
 
 def test_a_slow_sender_is_not_taken_for_a_slow_link() -> None:
-    """All other bodies were refused after one slow body that took 0.9 s.
+    """Guards against refusal of all bodies after a slow one that took 0.9 s.
 
-    The rate of the slow sender was counted as the rate of the link.
+    It occurs if the slow sender's rate is counted as the rate of the link.
     """
     incoming = bodies.IncomingBodies()
     now_ms = 0
@@ -318,7 +318,7 @@
 
 
 def test_late_bodies_are_transferred_after_those_in_time() -> None:
-    """A late body made the next one late, which delayed all after it."""
+    """If it went first, a late body would make all bodies after it late."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     incoming.add(1, "a", 8192, 900, 0)
@@ -351,7 +351,7 @@
 
 
 def test_late_bodies_do_not_make_the_link_busy() -> None:
-    """Calls were sent elsewhere although only a late body used the link."""
+    """Otherwise calls are sent elsewhere because of one late body."""
     incoming = bodies.IncomingBodies()
     incoming.bytes_per_ms = LINK_BYTES_PER_MS
     incoming.add(1, "late", BODY_BYTES, 10, 0)
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -103,7 +103,7 @@
 
 
 def test_without_keys_in_use_hosts_pull_only_from_a_sample() -> None:
-    """Each host asked every other one twice a second for ten minutes."""
+    """Guards against pulls from all hosts, twice a second for ten minutes."""
     assert count_pulls(fleet_ledger(200), 0, 60_000) <= ledgers.SAMPLE_HOSTS
 
 
--- a/libs/requests/tests/test_target_side.py
+++ b/libs/requests/tests/test_target_side.py
@@ -103,7 +103,7 @@
 def test_queued_requests_of_a_leaving_target_are_refused(
     leave: typing.Callable[[Harness], list[typing.Any]],
 ) -> None:
-    """A queued request was sent to a target seconds after it had left."""
+    """Guards against a queued request sent seconds after a target left."""
     harness = Harness()
     assert dispatched(harness.send(1)) == [1]
     harness.send(2)
@@ -116,7 +116,7 @@
 def test_requests_without_bodies_at_a_leaving_target_are_refused(
     leave: typing.Callable[[Harness], list[typing.Any]],
 ) -> None:
-    """An upload over a slow link ran 2.2 s after its target had left."""
+    """Guards against a slow upload that runs 2.2 s after its target left."""
     harness = Harness()
     harness.send(1, body_bytes=BODY_BYTES)
     assert not_run(leave(harness)) == [1]
@@ -129,7 +129,7 @@
 
 
 def test_the_targets_of_an_evacuated_domain_get_no_requests() -> None:
-    """Their own proxy sent them requests queued before the evacuation."""
+    """Guards against requests queued before it that are sent after it."""
     harness = Harness()
     harness.send(1)
     harness.send(2)
@@ -158,7 +158,7 @@
 
 
 def test_a_renewed_drain_refuses_no_request_twice() -> None:
-    """Each renewed announcement refused the same requests once more."""
+    """Guards against renewed announcements that refuse requests again."""
     harness = Harness()
     harness.send(1)
     harness.send(2)
@@ -178,9 +178,10 @@
 
 
 def test_a_cold_target_gets_at_most_its_rate_limit() -> None:
-    """With free slots it got 18 requests in a second and crashed repeatedly.
+    """Two hundred callers send it requests in its first two seconds.
 
-    Two hundred callers send it requests in its first two seconds.
+    Without the limit it got 18 requests in a second, since it had free slots,
+    and crashed repeatedly.
     """
     harness = cold_harness()
     begun_ms = []
@@ -203,7 +204,7 @@
 
 
 def test_a_cold_target_is_advertised_with_its_rate() -> None:
-    """Proxies that assumed it warm sent it calls that were then refused."""
+    """Proxies that assume it is warm send it calls that are then refused."""
     harness = cold_harness()
     record = harness.core.advertised_record(TARGET, 0)
     assert record.state == messages.TargetState.COLD
@@ -217,7 +218,7 @@
 
 
 def test_targets_of_a_restored_domain_are_cold_until_checked() -> None:
-    """Its targets became cold just before and have not announced it yet."""
+    """They may have become cold just before, without announcing it yet."""
     harness = cold_harness(left_ms=0)
     harness.core.evacuate(True, 0)
     emitted = harness.core.evacuate(False, 10)
@@ -257,14 +258,14 @@
 
 
 def test_an_incomplete_body_holds_no_slot() -> None:
-    """A target was idle while its slots were reserved for bodies."""
+    """Guards against idle targets whose slots are reserved for bodies."""
     harness = Harness()
     harness.send(1, body_bytes=BODY_BYTES)
     assert dispatched(harness.send(2)) == [2]
 
 
 def test_a_movable_upload_does_not_wait_for_a_busy_link() -> None:
-    """Uploads queued at one link and were late while others were free."""
+    """Guards against late uploads at one link while others are free."""
     harness = Harness()
     harness.core.put_target(target_record(slots=20), PORT, 0)
     harness.send(1, body_bytes=BODY_BYTES)
@@ -274,7 +275,7 @@
 
 
 def test_a_movable_upload_does_not_wait_for_a_slot() -> None:
-    """Uploads queued at full targets while others had free slots."""
+    """Guards against uploads queued at full targets while others are free."""
     harness = Harness()
     harness.send(1)
     movable = harness.send(2, body_bytes=BODY_BYTES, settled=False)
@@ -283,7 +284,7 @@
 
 
 def test_a_movable_upload_runs_where_a_mean_run_is_in_time() -> None:
-    """No target met the safe run time, so each refused the upload in turn."""
+    """Where no target meets the safe run time, all would refuse the upload."""
     harness = Harness()
     slots = harness.core.targets[TARGET].slots
     slots.routes["pay"] = admission.RunTime(mean_ms=100.0, deviation_ms=100.0)
@@ -370,7 +371,7 @@
 
 
 def test_bodies_that_can_be_in_time_are_served() -> None:
-    """In a long overload all uploads that may wait were queued and late."""
+    """Guards against a long overload in which all queued uploads are late."""
     uploads = Uploads(interval_ms=40).run(12_000)
     after = [
         n for n, at_ms in uploads.submitted_ms.items() if at_ms >= OVERLOAD_MS
@@ -383,7 +384,7 @@
 
 
 def test_bodies_that_would_be_late_are_refused_at_once() -> None:
-    """Callers waited for a second before their requests were refused."""
+    """Guards against refusals after callers have waited for a second."""
     uploads = Uploads(interval_ms=40).run(12_000)
     waits_ms = [
         uploads.refused_ms[number] - uploads.submitted_ms[number]
@@ -401,7 +402,7 @@
 
 
 def test_deferred_bodies_are_refused_while_callers_can_retry() -> None:
-    """Deferred bodies were kept until their callers' deadlines."""
+    """Guards against deferred bodies kept until their callers' deadlines."""
     uploads = Uploads(interval_ms=40).run(6000)
     waits_ms = [
         uploads.refused_ms[number] - uploads.submitted_ms[number]
