--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -152,7 +152,7 @@
         timeout_ms = route.timeout_ms
         if call.deadline_ms:
             timeout_ms = min(timeout_ms, call.deadline_ms)
-        aim_ms = route.latency_aim_ms or timeout_ms
+        latency_target_ms = route.latency_aim_ms or timeout_ms
         waited_ms = self.original_deadlines.waited_ms(
             route.name, call.deadline_ms
         )
@@ -162,7 +162,7 @@
             fingerprint=call.fingerprint(),
             started_us=now_us,
             deadline_at_ms=now_ms + timeout_ms,
-            aim_at_ms=now_ms + aim_ms - waited_ms,
+            due_at_ms=now_ms + latency_target_ms - waited_ms,
             service=routing.draw_service(route, self.rng),
         )
         self.live[call.call_id] = live
@@ -311,7 +311,7 @@
             retried=live.call.retried or live.attempts > 1,
             priority=route.priority or 0,
             caller_id=live.call.caller_id,
-            aim_ms=max(live.aim_at_ms - now_ms, 1),
+            aim_ms=max(live.due_at_ms - now_ms, 1),
             settled=live.may_queue,
             services_key=self.targets.services_key,
             repeat_permille=_repeat_permille(live),
--- a/libs/requests/src/trefoil_requests/live.py
+++ b/libs/requests/src/trefoil_requests/live.py
@@ -37,7 +37,7 @@
         fingerprint: Hash that identifies resends of the same request.
         started_us: When it arrived.
         deadline_at_ms: When its caller stops waiting for it.
-        aim_at_ms: When its answer misses its route's latency target.
+        due_at_ms: When its answer exceeds its route's latency target.
         claim: The claim on its idempotency key, for once-only requests.
         service: The service that was drawn for it.
         drawn_version: The version that was drawn for it.
@@ -66,7 +66,7 @@
     fingerprint: int
     started_us: int
     deadline_at_ms: int
-    aim_at_ms: int
+    due_at_ms: int
     claim: messages.Claim | None = None
     service: str = ""
     drawn_version: str | None = None
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -208,7 +208,7 @@
         self, live: live_calls.LiveCall, now_ms: int
     ) -> crossing.Urgency:
         return crossing.Urgency(
-            (live.aim_at_ms - now_ms) * 1000,
+            (live.due_at_ms - now_ms) * 1000,
             (live.deadline_at_ms - now_ms) * 1000,
             self._crossing_cost(live.route),
         )
