--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -67,10 +67,10 @@
     """Otherwise two replicas of a key could change at once."""
     sets = ledgers.ReplicaSets()
     sets.update({"s": ["a", "b", "c", "d"]}, 0)
-    before = sets.keepers("s", 5, 0)
+    before = sets.replicas("s", 5, 0)
     sets.update({"s": [h for h in "abcd" if h != before[0]]}, 10)
-    assert sets.keepers("s", 5, 20) == before
-    after = sets.keepers("s", 5, 20 + ledgers.RETENTION_MS)
+    assert sets.replicas("s", 5, 20) == before
+    after = sets.replicas("s", 5, 20 + ledgers.RETENTION_MS)
     assert before[0] not in after
     assert set(before[1:]) <= set(after)
 
@@ -103,7 +103,7 @@
 
 
 def test_without_keys_in_use_hosts_pull_only_from_a_sample() -> None:
-    """Each host asked every other one twice a second for ten minutes."""
+    """Guards against pulls from all hosts, twice a second for ten minutes."""
     assert count_pulls(fleet_ledger(200), 0, 60_000) <= ledgers.SAMPLE_HOSTS
 
 
