--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -39,7 +39,7 @@
 RETRY_AFTER_MS = 1000
 NO_TARGET_RETRY_AFTER_MS = 100
 MIN_FAILED_STATUS = 400
-OUTCOME_UNKNOWN = "it is unknown whether the request ran"
+OUTCOME_UNKNOWN = "it is not known whether the request ran"
 
 
 class LocalTargets(typing.Protocol):
@@ -194,7 +194,7 @@
 
     def _route_or_refuse(self, call: calls.Call) -> messages.Route | None:
         if self.draining:
-            self._refuse(call, 503, "this proxy is shutting down")
+            self._refuse(call, 503, "this proxy is leaving")
             return None
         if self.placement.table is None:
             self._refuse(call, 503, "no configuration is in force yet")
@@ -450,7 +450,7 @@
             self._finish_lost(
                 live,
                 502,
-                "the target closed the connection before its answer",
+                "the target broke off",
             )
 
     def _on_unusable(
@@ -469,9 +469,7 @@
         if repeatable and self._may_retry(live, budget.Cause.BROKEN, now_ms):
             self._attempt(live, now_ms, now_us)
         else:
-            self._finish_lost(
-                live, 502, answer.reason or "the target's answer is incomplete"
-            )
+            self._finish_lost(live, 502, answer.reason or "no whole answer")
 
     def on_unsent(
         self, request_id: int, now_ms: int, now_us: int
@@ -507,9 +505,7 @@
             if repeatable and self._may_retry(live, budget.Cause.LOST, now_ms):
                 self._attempt(live, now_ms, now_us)
             else:
-                self._finish_lost(
-                    live, 502, "the connection to the target's host was lost"
-                )
+                self._finish_lost(live, 502, "the target's host is lost")
         return self._flush()
 
     def set_unresponsive(
@@ -741,12 +737,12 @@
         self._finish_not_run(
             live,
             422,
-            "quarantined: this request crashed the targets that ran it",
+            "this request crashed the targets that ran it",
         )
 
     def _finish_no_target(self, live: live_calls.LiveCall) -> None:
         wait_ms = live.retry_after_ms or NO_TARGET_RETRY_AFTER_MS
-        reason = "no target can run the request in time"
+        reason = "no target can take it in time"
         if live.may_have_run:
             # 503 states that it did not run, but an earlier attempt may have.
             self._finish_lost(live, 502, reason, wait_ms)
@@ -804,7 +800,7 @@
                 calls.Final(
                     result.call_id,
                     409,
-                    "the key was used before; its answer is not available",
+                    "the key was used before; its answer is not known here",
                     ran=True,
                 ),
             )
@@ -824,7 +820,7 @@
             calls.Final(
                 call_id,
                 503,
-                "not run; it is unknown whether the key was used before",
+                "not run now; it can't be known whether the key ran before",
                 retry_after_ms=RETRY_AFTER_MS,
             ),
         )
--- a/libs/requests/src/trefoil_requests/routing.py
+++ b/libs/requests/src/trefoil_requests/routing.py
@@ -78,8 +78,8 @@
                 return route
             other_method = True
         if other_method:
-            raise errors.ProtocolError(405, f"no route allows {method} here")
-        raise errors.ProtocolError(404, "no route matches this path")
+            raise errors.ProtocolError(405, f"no route takes {method} here")
+        raise errors.ProtocolError(404, "no route takes this path")
 
     def _candidates(
         self, host: str, path: str
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -271,7 +271,7 @@
         if target is None:
             return []
         target.draining = True
-        self._refuse_waiting(name, "the target was removed", now_ms)
+        self._refuse_waiting(name, "the target left", now_ms)
         if not target.slots.running:
             self.targets.pop(name, None)
         return self._flush()
@@ -395,7 +395,7 @@
         if self.evacuated:
             return EVACUATED
         if target is None:
-            return "the target is not on this host"
+            return "the target is not here"
         if target.draining:
             return "the target is draining"
         if target.record.version != request.version:
@@ -426,7 +426,7 @@
         if not self._may_request_body(tracked, estimate):
             self._refuse(
                 tracked,
-                "its body cannot arrive in time",
+                "its body can't come in time",
                 wait_ms=self._link_free_in_ms(),
                 full=True,
             )
@@ -682,7 +682,7 @@
             self._remove(tracked.request.request_id, now_ms)
             self._refuse(
                 tracked,
-                "its body did not arrive in time",
+                "its body did not come in time",
                 wait_ms=self._link_free_in_ms(),
             )
 
@@ -737,7 +737,7 @@
             answer = messages.Answer(
                 request_id=tracked.request.request_id,
                 status=502,
-                reason="the target closed the connection before its answer",
+                reason="the target broke its answer off",
                 ran=True,
                 unusable=True,
             )
@@ -776,7 +776,7 @@
             answer = messages.Answer(
                 request_id=tracked.request.request_id,
                 status=502,
-                reason="the target crashed",
+                reason="the target broke off",
                 ran=True,
                 crashed=True,
                 sole=sole,
