--- a/libs/cli/src/trefoil_cli/client.py
+++ b/libs/cli/src/trefoil_cli/client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of the operators' interface."""
+"""HTTP client for the admin listener of a process."""
 
 import dataclasses
 import http.client
@@ -8,27 +8,27 @@
 
 COMMAND_PATH = "/v1/command"
 TIMEOUT_S = 8.0
-STAMP_DIGITS = 13
+TIMESTAMP_DIGITS = 13
 
 
 class Unreachable(Exception):
-    """No process answers at the address."""
+    """The connection failed or gave no valid HTTP response."""
 
 
 class Refused(Exception):
-    """The process refused the line; its text says why."""
+    """The process rejected the line; the message gives the reason."""
 
 
 @dataclasses.dataclass(slots=True)
 class Line:
-    """A line on its way to a process.
+    """A line of the operators' language with the fields sent along.
 
     Args:
         text: The line.
-        command_id: Number of the command; kept when it is sent again.
+        command_id: Number of the command; the same in each resend.
         operator: Name of the operator.
-        issued_ms: When it was first issued, Unix time in milliseconds.
-        document: The configuration document of ``apply``.
+        issued_ms: Time of first issue, Unix time in milliseconds.
+        document: Text of the configuration document of ``apply``.
     """
 
     text: str
@@ -38,22 +38,26 @@
     document: str = ""
 
     @classmethod
-    def numbered(
+    def from_number(
         cls, text: str, number: str, operator: str, document: str = ""
     ) -> typing.Self:
-        """Build a line from its number, which tells when it was issued.
+        """Build a line whose time of issue is read from its number.
 
-        A resend with the same number must be the same command to the last
-        byte, the time of issue included, or it would be another's.
+        A resend must repeat the command byte for byte, time of issue
+        included; otherwise it is taken for a different command that uses
+        the same number. A number that does not start with a time of issue
+        gets the current time.
         """
-        stamp = number.partition("-")[0]
-        stamped = len(stamp) == STAMP_DIGITS and stamp.isdigit()
+        timestamp = number.partition("-")[0]
+        has_timestamp = (
+            len(timestamp) == TIMESTAMP_DIGITS and timestamp.isdigit()
+        )
         now_ms = int(time.time() * 1000)
-        issued_ms = int(stamp) if stamped else now_ms
+        issued_ms = int(timestamp) if has_timestamp else now_ms
         return cls(text, number, operator, issued_ms, document)
 
     def to_json(self) -> str:
-        """Return what is sent."""
+        """Return the body of the HTTP request."""
         return json.dumps(
             {
                 "line": self.text,
@@ -66,10 +70,10 @@
 
 
 class Client:
-    """Speaks to the operators' interface of one process.
+    """Sends lines to the admin listener of one process.
 
     Args:
-        address: Its IP number and port.
+        address: IP address and port of the listener.
     """
 
     __slots__ = ("address",)
@@ -78,11 +82,11 @@
         self.address = address
 
     def send(self, line: Line) -> dict[str, typing.Any]:
-        """Send a line once and return the answer.
+        """Send a line once and return the decoded answer.
 
         Raises:
-            Unreachable: Nothing answers.
-            Refused: The line is wrong.
+            Unreachable: No answer within ``TIMEOUT_S``.
+            Refused: The process rejected the line.
         """
         connection = http.client.HTTPConnection(
             self.address, timeout=TIMEOUT_S
@@ -99,15 +103,21 @@
             raise Refused(body.strip())
         return json.loads(body)
 
-    def settle(self, line: Line, wait_s: float) -> dict[str, typing.Any]:
-        """Send a line until its outcome is known or time is up.
+    def send_and_wait(
+        self, line: Line, wait_s: float
+    ) -> dict[str, typing.Any]:
+        """Send a line until its outcome is known or ``wait_s`` has passed.
+
+        Resending is safe: the command keeps its id and runs at most once.
 
-        Sending again is safe: the command keeps its id.
+        Raises:
+            Unreachable: No answer within ``TIMEOUT_S``.
+            Refused: The process rejected the line.
         """
-        until = time.monotonic() + wait_s
+        give_up_s = time.monotonic() + wait_s
         while True:
             answer = self.send(line)
             pending = answer.get("outcome") == "pending"
-            if not pending or time.monotonic() >= until:
+            if not pending or time.monotonic() >= give_up_s:
                 return answer
             time.sleep(answer.get("retry_after_ms", 500) / 1000)
--- a/libs/cli/src/trefoil_cli/explain.py
+++ b/libs/cli/src/trefoil_cli/explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, from collected logs."""
+"""Reconstructs the history of one request from collected logs."""
 
 import collections.abc
 import dataclasses
@@ -6,15 +6,22 @@
 
 from trefoil_model import lines
 
-ID = "id"
+ID_KEY = "id"
 FIRST_KEY = "at="
-# What changed at a target this long before its request may be the cause.
-BEFORE_LINES = 3
+# Earlier log lines shown for each target, as a change there may be the cause.
+EARLIER_TARGET_LINES = 3
 
 
 @dataclasses.dataclass(slots=True)
-class Line:
-    """One log line."""
+class LogLine:
+    """One log line.
+
+    Args:
+        at: Time of the line, ISO 8601 in UTC.
+        process: Name of the process that logged it.
+        pairs: Its keys and values.
+        text: The line without what precedes its first key.
+    """
 
     at: str
     process: str
@@ -22,16 +29,19 @@
     text: str
 
 
-def read(files: collections.abc.Iterable[str]) -> list[Line]:
-    """Return the lines of logs in order of time; others are passed over."""
-    found = []
+def read(files: collections.abc.Iterable[str]) -> list[LogLine]:
+    """Return the log lines of files in order of time.
+
+    Text that is not a log line is skipped.
+    """
+    log_lines = []
     for file in files:
         text = pathlib.Path(file).read_text(errors="replace")
-        found.extend(_lines_of(text))
-    return sorted(found, key=lambda line: line.at)
+        log_lines.extend(_parse_lines(text))
+    return sorted(log_lines, key=lambda line: line.at)
 
 
-def _lines_of(text: str) -> collections.abc.Iterator[Line]:
+def _parse_lines(text: str) -> collections.abc.Iterator[LogLine]:
     for raw in text.splitlines():
         start = raw.find(FIRST_KEY)
         if start < 0:
@@ -39,52 +49,65 @@
         try:
             pairs = lines.parse(raw[start:])
         except ValueError:
-            # Not a line of ours, or cut by whoever collected it.
+            # Written by another program, or truncated on collection.
             continue
         if "event" in pairs:
             process = pairs.get("process", "")
-            yield Line(pairs["at"], process, pairs, raw[start:])
+            yield LogLine(pairs["at"], process, pairs, raw[start:])
 
 
-def story(found: list[Line], request_id: str) -> list[Line]:
-    """Return the lines that tell of a request, and what led to them.
+def request_history(
+    log_lines: list[LogLine], request_id: str
+) -> list[LogLine]:
+    """Return the lines of a request and the events that explain them.
 
-    Beside the request's own lines: the configuration in force at each
-    process that decided on it, what its service's retry budget was spent on
-    there, and the last words on its targets.
+    In addition to the lines with the request's id: the configuration in
+    force at each process that logged one, the last retry budget event of
+    its service there, and the last ``EARLIER_TARGET_LINES`` lines of each of
+    its targets. Empty if no line has the id.
     """
-    own = [line for line in found if line.pairs.get(ID) == request_id]
-    if not own:
+    request_lines = [
+        line for line in log_lines if line.pairs.get(ID_KEY) == request_id
+    ]
+    if not request_lines:
         return []
-    first_at = own[0].at
-    told = list(own)
-    for process in sorted({line.process for line in own}):
-        told += _last(
-            found, first_at, 1, process=process, event="config.in_force"
+    first_at = request_lines[0].at
+    related = list(request_lines)
+    for process in sorted({line.process for line in request_lines}):
+        related += _last_matching(
+            log_lines, first_at, 1, process=process, event="config.in_force"
+        )
+        for service in sorted(
+            {line.pairs.get("service", "") for line in request_lines}
+        ):
+            criteria = {"event": "budget.spent", "service": service}
+            related += _last_matching(
+                log_lines, first_at, 1, process=process, **criteria
+            )
+    for target in sorted(_target_names(request_lines)):
+        related += _last_matching(
+            log_lines, first_at, EARLIER_TARGET_LINES, target=target
         )
-        for service in sorted({line.pairs.get("service", "") for line in own}):
-            wanted = {"event": "budget.spent", "service": service}
-            told += _last(found, first_at, 1, process=process, **wanted)
-    for target in sorted(_targets_of(own)):
-        told += _last(found, first_at, BEFORE_LINES, target=target)
-    return sorted(told, key=lambda line: line.at)
+    return sorted(related, key=lambda line: line.at)
 
 
-def _targets_of(own: list[Line]) -> set[str]:
-    named = {
-        line.pairs.get(key, "") for line in own for key in ("target", "also")
+def _target_names(request_lines: list[LogLine]) -> set[str]:
+    names = {
+        line.pairs.get(key, "")
+        for line in request_lines
+        for key in ("target", "also")
     }
-    return {name.rpartition("/")[2] for name in named if name}
+    return {name.rpartition("/")[2] for name in names if name}
 
 
-def _last(
-    found: list[Line], before: str, count: int, **wanted: str
-) -> list[Line]:
-    fitting = [
+def _last_matching(
+    log_lines: list[LogLine], before: str, count: int, **criteria: str
+) -> list[LogLine]:
+    matches = [
         line
-        for line in found
+        for line in log_lines
         if line.at < before
-        and ID not in line.pairs
-        and all(line.pairs.get(k) == v for k, v in wanted.items())
+        and ID_KEY not in line.pairs
+        and all(line.pairs.get(k) == v for k, v in criteria.items())
     ]
-    return fitting[-count:]
+    return matches[-count:]
--- a/libs/cli/src/trefoil_cli/main.py
+++ b/libs/cli/src/trefoil_cli/main.py
@@ -20,7 +20,7 @@
 
 DEFAULT_ADDRESS = "127.0.0.1:7102"
 DEFAULT_WAIT_S = 30.0
-STATUS = {
+EXIT_STATUS_BY_OUTCOME = {
     "done": 0,
     "not run": 1,
     "pending": 3,
@@ -28,20 +28,20 @@
     "taken back": 4,
     "expired": 5,
 }
-WRONG_LINE = 2
-UNREACHABLE = 6
-NOT_FOUND = 1
+EXIT_INVALID_INPUT = 2
+EXIT_UNREACHABLE = 6
+EXIT_NOT_FOUND = 1
 
 
 def new_id(now_ms: int) -> str:
-    """Return a command number that nobody else draws."""
+    """Return a unique command number that starts with the time of issue."""
     return f"{now_ms}-{random.SystemRandom().getrandbits(40):010x}"
 
 
 class Commands:
-    """trefoilroute: ask what is in force, move traffic, take it back.
+    """trefoilroute: query the fleet, move traffic, reverse moves.
 
-    A line of the operators' language follows ``say``, for example::
+    ``say`` takes a line of the operators' language, for example::
 
         trefoilroute say in force by host
         trefoilroute say apply configuration.yaml
@@ -58,54 +58,69 @@
         number: str = "",
         wait: float = DEFAULT_WAIT_S,
     ) -> None:
-        """Say a line to a process.
+        """Send a line of the operators' language to a process.
 
         Args:
             words: The line.
-            at: Address of the operators' interface of any process.
-            as_json: Print JSON in place of a table.
-            operator: Your name; the login name by default.
-            number: Number of the command; give the one of an earlier try to
-                learn its outcome without running it again.
+            at: Address of the admin listener of any process.
+            as_json: Print JSON instead of a table.
+            operator: Name of the operator; the login name by default.
+            number: Number of the command; pass the number of an earlier
+                attempt to get its outcome without running it again.
             wait: Seconds to wait for the outcome.
+
+        Raises:
+            SystemExit: Always; its code tells the outcome.
         """
         text = " ".join(str(word) for word in words)
         parsed = parser.parse(text)
         if parsed.is_error():
-            _fail(str(parsed.error), WRONG_LINE)
-        line = _line_from(text, parsed.ok, operator, str(number))
+            _exit_with_error(str(parsed.error), EXIT_INVALID_INPUT)
+        line = _build_line(text, parsed.ok, operator, str(number))
         try:
-            answer = client.Client(at).settle(line, float(wait))
+            answer = client.Client(at).send_and_wait(line, float(wait))
         except client.Unreachable as error:
-            _fail(f"{error}\nthe number was {line.command_id}", UNREACHABLE)
+            _exit_with_error(
+                f"{error}\nthe number was {line.command_id}", EXIT_UNREACHABLE
+            )
         except client.Refused as error:
-            _fail(f"not run: {error}", WRONG_LINE)
-        _show(answer, as_json)
-        raise SystemExit(_status(answer))
+            _exit_with_error(f"not run: {error}", EXIT_INVALID_INPUT)
+        _print_answer(answer, as_json)
+        raise SystemExit(_exit_status(answer))
 
     def explain(self, request_id: str, *files: str) -> None:
-        """Print what collected logs tell of one request.
+        """Print the history of one request from collected logs.
 
         Args:
-            request_id: The caller's id of the request.
-            files: Logs of the processes, in any order.
+            request_id: Id that the caller gave the request.
+            files: Log files of the processes, in any order.
+
+        Raises:
+            SystemExit: No line has the id.
         """
-        told = explain.story(explain.read(files), str(request_id))
-        if not told:
-            _fail(f"no line tells of {request_id}", NOT_FOUND)
-        for line in told:
+        history = explain.request_history(explain.read(files), str(request_id))
+        if not history:
+            _exit_with_error(f"no line tells of {request_id}", EXIT_NOT_FOUND)
+        for line in history:
             print(line.text)
 
     def check(self, document: str) -> None:
-        """Check a configuration document without applying it."""
+        """Check a configuration document without applying it.
+
+        Args:
+            document: Path of the document.
+
+        Raises:
+            SystemExit: The document is invalid.
+        """
         text = pathlib.Path(document).read_text(encoding="utf-8")
-        checked = configuration.parse(text, file=document)
-        if checked.is_error():
-            _fail(str(checked.error), WRONG_LINE)
+        result = configuration.parse(text, file=document)
+        if result.is_error():
+            _exit_with_error(str(result.error), EXIT_INVALID_INPUT)
         print(f"{document}: in order")
 
 
-def _line_from(
+def _build_line(
     text: str, statement: typing.Any, operator: str, number: str
 ) -> client.Line:
     now_ms = int(time.time() * 1000)
@@ -115,8 +130,8 @@
             path = pathlib.Path(statement.file)
             document = path.read_text(encoding="utf-8")
         except OSError as error:
-            _fail(str(error), WRONG_LINE)
-    return client.Line.numbered(
+            _exit_with_error(str(error), EXIT_INVALID_INPUT)
+    return client.Line.from_number(
         text,
         number or new_id(now_ms),
         operator or getpass.getuser(),
@@ -124,7 +139,7 @@
     )
 
 
-def _show(answer: dict[str, typing.Any], as_json: bool) -> None:
+def _print_answer(answer: dict[str, typing.Any], as_json: bool) -> None:
     if as_json:
         print(json.dumps(answer, indent=2))
     elif "rows" in answer:
@@ -136,15 +151,15 @@
         print(f"number {answer['command_id']}")
 
 
-def _status(answer: dict[str, typing.Any]) -> int:
+def _exit_status(answer: dict[str, typing.Any]) -> int:
     outcome = answer.get("outcome")
     rows = answer.get("rows")
     if outcome is None and rows and len(rows) == 1:
         outcome = rows[0].get("outcome")
-    return STATUS.get(outcome, 0) if outcome else 0
+    return EXIT_STATUS_BY_OUTCOME.get(outcome, 0) if outcome else 0
 
 
-def _fail(text: str, status: int) -> typing.NoReturn:
+def _exit_with_error(text: str, status: int) -> typing.NoReturn:
     print(text, file=sys.stderr)
     raise SystemExit(status)
 
--- a/libs/cli/src/trefoil_cli/table.py
+++ b/libs/cli/src/trefoil_cli/table.py
@@ -1,4 +1,4 @@
-"""Tables for people."""
+"""Plain-text tables for the terminal."""
 
 import typing
 
@@ -6,7 +6,10 @@
 
 
 def render(rows: list[dict[str, typing.Any]]) -> str:
-    """Return rows as an aligned table."""
+    """Return rows as an aligned table.
+
+    The keys of the first row are the columns.
+    """
     if not rows:
         return "(nothing)"
     columns = list(rows[0])
@@ -14,7 +17,8 @@
     for row in rows:
         lines.append([_text(row.get(column)) for column in columns])
     widths = [
-        max(len(line[at]) for line in lines) for at in range(len(columns))
+        max(len(line[index]) for line in lines)
+        for index in range(len(columns))
     ]
     return "\n".join(
         GAP.join(
--- a/libs/cli/tests/test_main.py
+++ b/libs/cli/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: numbers, tables and exit status."""
+"""Tests of the command line: numbers, tables and exit status."""
 
 import pytest
 
@@ -21,16 +21,20 @@
         ({"rows": []}, 0),
     ],
 )
-def test_scripts_can_go_by_the_status(answer: dict, status: int) -> None:
-    assert main._status(answer) == status
+def test_exit_status(answer: dict, status: int) -> None:
+    assert main._exit_status(answer) == status
 
 
-def test_a_number_tells_when_its_command_was_issued() -> None:
-    """A resend must be the same command to the last byte."""
+def test_issue_time_is_read_from_command_number() -> None:
+    """A resend has the time of the first issue, not of the resend.
+
+    With another time of issue, the command would differ from the first one
+    and be refused as a reuse of its number.
+    """
     number = main.new_id(1_796_256_000_000)
-    first = client.Line.numbered("drain h1", number, "ann")
-    again = client.Line.numbered("drain h1", number, "ann")
-    assert first == again
+    first = client.Line.from_number("drain h1", number, "ann")
+    second = client.Line.from_number("drain h1", number, "ann")
+    assert first == second
     assert first.issued_ms == 1_796_256_000_000
 
 
@@ -43,15 +47,15 @@
     assert table.render([]) == "(nothing)"
 
 
-def test_nothing_answers(capsys) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_say_reports_unreachable_process(capsys) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         main.Commands().say("in", "force", at="127.0.0.1:1", wait=0)
-    assert ended.value.code == main.UNREACHABLE
+    assert exit_info.value.code == main.EXIT_UNREACHABLE
     assert "the number was" in capsys.readouterr().err
 
 
-def test_a_wrong_line_is_marked(capsys) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_say_marks_syntax_error(capsys) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         main.Commands().say("in", "farce")
-    assert ended.value.code == main.WRONG_LINE
+    assert exit_info.value.code == main.EXIT_INVALID_INPUT
     assert "in farce\n   ^\nexpected force" in capsys.readouterr().err
--- a/libs/emulator/src/trefoil_emulator/fleet.py
+++ b/libs/emulator/src/trefoil_emulator/fleet.py
@@ -366,13 +366,13 @@
         """Say a line of the operators' language to a process."""
         self.numbers += 1
         number = number or f"{int(time.time() * 1000)}-{self.numbers}"
-        line = client.Line.numbered(text, number, operator, document)
+        line = client.Line.from_number(text, number, operator, document)
         member = self.members[at]
         until = time.monotonic() + wait_s
         while True:
             try:
                 speaker = client.Client(member.address("admin"))
-                return speaker.settle(line, wait_s)
+                return speaker.send_and_wait(line, wait_s)
             except client.Unreachable:
                 # Two of three control processes may lead and agree before
                 # the third has opened its port. The line keeps its number,
--- a/soak/watch.py
+++ b/soak/watch.py
@@ -126,12 +126,12 @@
         self.offset += 1
         names = self.deployment.control_names
         at = names[self.offset % len(names)]
-        line = client.Line.numbered(
+        line = client.Line.from_number(
             "apply soak.yaml", command, "soak", document
         )
         address = self.deployment.members[at].address("admin")
         try:
-            answer = client.Client(address).settle(line, SETTLE_S)
+            answer = client.Client(address).send_and_wait(line, SETTLE_S)
         except (client.Unreachable, client.Refused):
             # Nothing answers there now; the command keeps its number.
             time.sleep(LOOK_S)
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -169,7 +169,7 @@
         line = client.Line(
             f"{word} h{number % 5 + 5}", f"{now_ms}-{number}", "ann", now_ms
         )
-        assert speaker.settle(line, 10)["outcome"] == "done"
+        assert speaker.send_and_wait(line, 10)["outcome"] == "done"
     fleet.start(away)
 
     def caught_up() -> bool:
