--- a/libs/language/src/trefoil_language/__init__.py
+++ b/libs/language/src/trefoil_language/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' language: one line a command."""
+"""The operators' language: each line is a query or a command."""
--- a/libs/language/src/trefoil_language/parser.py
+++ b/libs/language/src/trefoil_language/parser.py
@@ -1,4 +1,4 @@
-"""Parsing a line of the operators' language."""
+"""Parser of the operators' language."""
 
 import functools
 import pathlib
@@ -9,10 +9,10 @@
 
 from . import statements
 
-GRAMMAR = pathlib.Path(__file__).with_name("language.lark")
-DURATION_MS = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000}
-MAX_LINE = 1000
-WORDS = {
+GRAMMAR_PATH = pathlib.Path(__file__).with_name("language.lark")
+UNIT_MS = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000}
+MAX_LINE_CHARS = 1000
+TERMINAL_TEXTS = {
     "NAME": "a name",
     "NUMBER": "a number",
     "DURATION": "a time such as 30s",
@@ -24,12 +24,12 @@
 
 
 class LanguageError(Exception):
-    """A line that the language does not have.
+    """A syntax error in a line.
 
     Args:
         line: The line.
-        column: Where it goes wrong, counted from 1.
-        expected: What could stand there.
+        column: Column of the error, counted from 1.
+        expected: Descriptions of the tokens that are valid there.
     """
 
     def __init__(self, line: str, column: int, expected: list[str]) -> None:
@@ -40,15 +40,15 @@
 
     def __str__(self) -> str:
         marker = " " * (self.column - 1) + "^"
-        wanted = ", ".join(self.expected)
-        return f"{self.line}\n{marker}\nexpected {wanted}"
+        choices = ", ".join(self.expected)
+        return f"{self.line}\n{marker}\nexpected {choices}"
 
 
 @functools.cache
-def grammar() -> lark.Lark:
-    """Return the parser, made once."""
+def load_parser() -> lark.Lark:
+    """Return the parser; it is built on the first call only."""
     return lark.Lark(
-        GRAMMAR.read_text(encoding="utf-8"),
+        GRAMMAR_PATH.read_text(encoding="utf-8"),
         parser="lalr",
         propagate_positions=True,
         maybe_placeholders=False,
@@ -56,18 +56,18 @@
 
 
 def parse(line: str) -> expression.Result[typing.Any, LanguageError]:
-    """Return what a line says, or where it goes wrong."""
-    if len(line) > MAX_LINE or "\n" in line:
-        error = LanguageError(line[:MAX_LINE], 1, ["one short line"])
+    """Return the statement of a line, or its syntax error."""
+    if len(line) > MAX_LINE_CHARS or "\n" in line:
+        error = LanguageError(line[:MAX_LINE_CHARS], 1, ["one short line"])
         return expression.Error(error)
     try:
-        tree = grammar().parse(line)
-        return expression.Ok(Builder().transform(tree))
+        tree = load_parser().parse(line)
+        return expression.Ok(StatementBuilder().transform(tree))
     except lark.exceptions.UnexpectedInput as error:
-        return expression.Error(_explain(line, error))
+        return expression.Error(_syntax_error(line, error))
 
 
-def _explain(
+def _syntax_error(
     line: str, error: lark.exceptions.UnexpectedInput
 ) -> LanguageError:
     column = getattr(error, "column", -1)
@@ -75,49 +75,56 @@
     at_end = token is not None and token.type == "$END"
     if at_end or column is None or column < 1:
         column = len(line) + 1
-    names = getattr(error, "accepts", None) or getattr(error, "expected", None)
-    names = names or getattr(error, "allowed", None) or ()
-    expected = sorted({_word(name) for name in names})
+    terminals = getattr(error, "accepts", None) or getattr(
+        error, "expected", None
+    )
+    terminals = terminals or getattr(error, "allowed", None) or ()
+    expected = sorted({_terminal_text(name) for name in terminals})
     return LanguageError(line, column, expected)
 
 
-def _word(name: str) -> str:
-    return WORDS.get(name, name.strip("_").lower())
+def _terminal_text(name: str) -> str:
+    return TERMINAL_TEXTS.get(name, name.strip("_").lower())
 
 
 def duration_ms(text: str) -> int:
-    """Return a time such as ``1.5s`` in milliseconds."""
+    """Return a duration such as ``1.5s`` in milliseconds."""
     number = text.rstrip("hms")
-    return int(float(number) * DURATION_MS[text[len(number) :]])
+    return int(float(number) * UNIT_MS[text[len(number) :]])
+
 
+class StatementBuilder(lark.Transformer):
+    """Builds a statement from the syntax tree of a line.
 
-class Builder(lark.Transformer):
-    """Builds statements from a parsed line."""
+    Each method handles the grammar rule of its name.
+    """
 
     def name(self, parts: list[str]) -> str:
         """Return a name."""
         return str(parts[0])
 
     def file(self, parts: list[str]) -> str:
-        """Return a file."""
+        """Return the path of a file."""
         return str(parts[0])
 
     def by(self, parts: list[str]) -> tuple[str, str]:
-        """Return a grouping."""
+        """Return a grouping as an option of ``in force``."""
         return ("by", str(parts[0]))
 
     def at(self, parts: list[str]) -> tuple[str, str]:
-        """Return a filter."""
+        """Return a filter as an option of ``in force``."""
         return (str(parts[0]), parts[1])
 
     def in_force(self, parts: list[tuple[str, str]]) -> typing.Any:
         """Build ``InForce``."""
-        given = dict(parts)
-        default = "host" if "host" in given or "domain" in given else "domain"
+        options = dict(parts)
+        default = (
+            "host" if "host" in options or "domain" in options else "domain"
+        )
         return statements.InForce(
-            by=given.get("by", default),
-            host=given.get("host", ""),
-            domain=given.get("domain", ""),
+            by=options.get("by", default),
+            host=options.get("host", ""),
+            domain=options.get("domain", ""),
         )
 
     def show_moves(self, parts: list[str]) -> typing.Any:
@@ -170,19 +177,19 @@
         return statements.Apply(parts[0], expected)
 
     def deadline(self, parts: list[lark.Token]) -> dict[str, typing.Any]:
-        """Return a deadline's arguments."""
+        """Return the deadline as an argument of ``Move``."""
         token = parts[0]
         if token.type == "INSTANT":
             return {"deadline": str(token)}
         return {"deadline_in_ms": duration_ms(str(token))}
 
     def risk(self, parts: list[str]) -> dict[str, typing.Any]:
-        """Return a risk's argument."""
+        """Return the risk as an argument of ``Move``, 1 to 1000 permille."""
         share = float(parts[0].rstrip("%"))
         return {"risk_permille": max(1, min(int(share * 10), 1000))}
 
     def watch(self, parts: list[str]) -> dict[str, typing.Any]:
-        """Return a watch's argument."""
+        """Return the watch time as an argument of ``Move``."""
         return {"watch_ms": duration_ms(str(parts[0]))}
 
     def move(self, parts: list[typing.Any]) -> typing.Any:
@@ -203,11 +210,11 @@
         return statements.Drain(parts[0], True)
 
     def undrain(self, parts: list[str]) -> typing.Any:
-        """Build ``Drain`` with the drain ended."""
+        """Build ``Drain`` that ends a drain."""
         return statements.Drain(parts[0], False)
 
     def reason(self, parts: list[str]) -> str:
-        """Return the words of a reason."""
+        """Return a reason as one text."""
         return " ".join(parts)
 
     def evacuate(self, parts: list[str]) -> typing.Any:
@@ -215,7 +222,7 @@
         return statements.Evacuate(parts[0], True, *parts[1:])
 
     def readmit(self, parts: list[str]) -> typing.Any:
-        """Build ``Evacuate`` with the evacuation ended."""
+        """Build ``Evacuate`` that ends an evacuation."""
         return statements.Evacuate(parts[0], False)
 
     def cancel(self, parts: list[str]) -> typing.Any:
--- a/libs/language/src/trefoil_language/statements.py
+++ b/libs/language/src/trefoil_language/statements.py
@@ -1,14 +1,14 @@
-"""What a line of the operators' language says."""
+"""Statements of the operators' language."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class InForce:
-    """Ask which revision is in force where.
+    """Ask which revision is in force at each place.
 
     Args:
-        by: ``host``, ``domain`` or ``service``.
+        by: Grouping: ``host``, ``domain`` or ``service``.
         host: Only this host, if set.
         domain: Only this failure domain, if set.
     """
@@ -20,28 +20,28 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowMoves:
-    """Ask for all moves, or those of a service."""
+    """Ask for all moves, or those of one service."""
 
     service: str = ""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MoveDone:
-    """Ask whether the newest move of a service is done."""
+    """Ask whether the latest move of a service is done."""
 
     service: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Explain:
-    """Ask what happened in the newest move of a service, and why."""
+    """Ask for the steps of the latest move of a service and their reasons."""
 
     service: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowTargets:
-    """Ask for the targets that the fleet announces."""
+    """Ask for the announced targets of all services, or of one."""
 
     service: str = ""
 
@@ -53,12 +53,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowServices:
-    """Ask for the services and the shares of their versions."""
+    """Ask for the services and the traffic shares of their versions."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowControls:
-    """Ask for the control processes and who leads."""
+    """Ask for the control processes and their leader."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -68,26 +68,26 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowBytes:
-    """Ask one process for the control bytes it sent, by kind."""
+    """Ask one process for the control bytes that it sent, by kind."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowDocument:
-    """Ask for the document that the configuration was made from."""
+    """Ask for the document of the current configuration."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ShowEvacuations:
-    """Ask which failure domains are evacuated, since when and why."""
+    """Ask for the evacuated failure domains, with start times and reasons."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Apply:
-    """Apply the configuration document that comes with the line.
+    """Apply the configuration document that is sent with the line.
 
     Args:
-        file: Name of the document.
-        expected: Revision that must be in force; 0 for any.
+        file: Path of the document.
+        expected: Revision that must be in force; 0 accepts any.
     """
 
     file: str
@@ -96,17 +96,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Move:
-    """Move a service's traffic.
+    """Move the traffic of a service to another version.
 
     Args:
         service: The service.
-        from_version: The version in force; empty for whichever is.
+        from_version: The version in force; empty accepts any.
         to_version: The new version.
-        deadline_in_ms: Time left until the deadline; 0 if ``deadline`` is
-            set.
+        deadline_in_ms: Milliseconds until the deadline; 0 if ``deadline``
+            is set.
         deadline: The deadline as a date and time in UTC, ISO 8601.
-        risk_permille: Largest share before evidence is in.
-        watch_ms: How long the watch goes on after the whole share.
+        risk_permille: Largest share of the traffic that the new version
+            gets before there is evidence for a verdict.
+        watch_ms: Milliseconds for which the new version is still watched
+            once it gets all traffic.
     """
 
     service: str
@@ -120,14 +122,19 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Reverse:
-    """Take back the move that runs on a service."""
+    """Reverse the running move of a service."""
 
     service: str
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Drain:
-    """Give a host no new requests, or give it some again."""
+    """Start or end the drain of a host.
+
+    Args:
+        host: The host.
+        draining: True sends it no new requests; False ends the drain.
+    """
 
     host: str
     draining: bool
@@ -135,12 +142,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Evacuate:
-    """Send the targets of a failure domain nothing, or something again.
+    """Start or end the evacuation of a failure domain.
 
     Args:
         domain: The failure domain.
-        evacuated: False takes the domain back.
-        reason: Why, for those who read the status.
+        evacuated: True sends its targets no requests; False ends the
+            evacuation.
+        reason: Reason that is shown with the evacuation.
     """
 
     domain: str
@@ -150,6 +158,6 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Cancel:
-    """Make sure that a command that is not agreed yet never runs."""
+    """Ensure that a command that is not committed yet never runs."""
 
     command_id: str
--- a/libs/language/tests/test_parser.py
+++ b/libs/language/tests/test_parser.py
@@ -1,4 +1,4 @@
-"""The operators' language: what a line says, where it goes wrong."""
+"""Tests of the parser: statements and the positions of syntax errors."""
 
 import pytest
 
@@ -48,7 +48,7 @@
         ("show evacuations", statements.ShowEvacuations()),
     ],
 )
-def test_lines(line: str, statement: object) -> None:
+def test_valid_lines(line: str, statement: object) -> None:
     assert parser.parse(line).ok == statement
 
 
@@ -62,7 +62,7 @@
         ("", 1, "apply"),
     ],
 )
-def test_wrong_lines(line: str, column: int, expected: str) -> None:
+def test_syntax_errors(line: str, column: int, expected: str) -> None:
     error = parser.parse(line).error
     assert error.column == column
     assert expected in error.expected
