--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -183,7 +183,7 @@
         for effect in effects:
             try:
                 self.carry(effect)
-            except errors.DiskRefused as error:
+            except errors.DiskWriteError as error:
                 self._suspend(str(error))
             if self.durability.refusals != refusals:
                 return
--- a/libs/daemon/src/trefoil_daemon/durability.py
+++ b/libs/daemon/src/trefoil_daemon/durability.py
@@ -36,7 +36,7 @@
         try:
             yield
         except OSError as error:
-            raise errors.DiskRefused(str(error))
+            raise errors.DiskWriteError(str(error))
 
     def refused(self, now_ms: int) -> None:
         """Note a write that the disk did not take."""
--- a/libs/model/src/trefoil_model/__init__.py
+++ b/libs/model/src/trefoil_model/__init__.py
@@ -1,1 +1,1 @@
-"""Words shared by every trefoilroute library: clock, effects, findings."""
+"""Types shared by all trefoilroute libraries: clocks, effects, findings."""
--- a/libs/model/src/trefoil_model/clock.py
+++ b/libs/model/src/trefoil_model/clock.py
@@ -1,24 +1,24 @@
-"""The runtime's clock, which tests pause and advance."""
+"""The runtime's clock and a replacement that tests advance by hand."""
 
 import time
 import typing
 
 
 class Clock(typing.Protocol):
-    """Tell the time to a process."""
+    """Interface of the clocks that a process reads the time from."""
 
     def now_ms(self) -> int:
-        """Return milliseconds since an arbitrary start; never goes back."""
+        """Return monotonic milliseconds since an arbitrary start."""
 
     def now_us(self) -> int:
-        """Return the same in microseconds."""
+        """Return monotonic microseconds since the same start."""
 
     def wall_ms(self) -> int:
-        """Return milliseconds since the Unix epoch; may step."""
+        """Return milliseconds since the Unix epoch; may jump."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The operating system's clocks."""
 
     __slots__ = ()
 
@@ -36,10 +36,10 @@
 
 
 class PausedClock:
-    """A clock that moves only when it is told to.
+    """A clock that advances only on request.
 
     Args:
-        start_ms: First value of both readings, in milliseconds.
+        start_ms: Initial monotonic and wall time, in milliseconds.
     """
 
     __slots__ = ("current_ms", "wall_offset_ms")
@@ -49,18 +49,18 @@
         self.wall_offset_ms = 0
 
     def now_ms(self) -> int:
-        """Return the paused monotonic time."""
+        """Return the current monotonic time in milliseconds."""
         return self.current_ms
 
     def now_us(self) -> int:
-        """Return the paused monotonic time in microseconds."""
+        """Return the current monotonic time in microseconds."""
         return self.current_ms * 1000
 
     def wall_ms(self) -> int:
-        """Return the paused wall time, steps included."""
+        """Return the wall time in milliseconds, including its offset."""
         return self.current_ms + self.wall_offset_ms
 
     def advance(self, by_ms: int) -> int:
-        """Move on by some milliseconds and return the new time."""
+        """Advance by some milliseconds and return the monotonic time."""
         self.current_ms += by_ms
         return self.current_ms
--- a/libs/model/src/trefoil_model/effects.py
+++ b/libs/model/src/trefoil_model/effects.py
@@ -1,8 +1,8 @@
 """Effects that decision cores return instead of doing input or output.
 
-A core takes a typed message or a tick and returns a plain list of these.
-The daemon carries them out in list order, so an effect that must be durable
-stands before the message that promises it.
+A core handles a typed message or a tick and returns a list of effects. The
+daemon runs them in list order, so a write that must be durable precedes the
+message that acknowledges it.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Send:
-    """Send a message to a peer process, best effort.
+    """Send a message to a peer process; it may be lost.
 
     Args:
         to: Name of the peer.
@@ -27,8 +27,8 @@
     """Write one log line.
 
     Args:
-        event: Name of the event, dotted.
-        fields: Values of the key=value pairs.
+        event: Dotted name of the event, a key of ``events.CATALOGUE``.
+        fields: Keys and values of the line.
         level: ``debug``, ``info``, ``warning`` or ``error``.
     """
 
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Count:
-    """Add to a metric's counter.
+    """Add to a counter.
 
     Args:
-        name: Name of the counter, dotted.
-        value: How much to add.
+        name: Dotted name of the counter.
+        value: The amount to add.
     """
 
     name: str
--- a/libs/model/src/trefoil_model/errors.py
+++ b/libs/model/src/trefoil_model/errors.py
@@ -1,32 +1,32 @@
-"""Errors that more than one trefoilroute library raises."""
+"""Errors shared by the trefoilroute libraries."""
 
 
 class TrefoilError(Exception):
-    """Base of every error that trefoilroute raises on purpose."""
+    """Base class of all errors that trefoilroute raises itself."""
 
 
 class FrameError(TrefoilError):
-    """A frame between processes is too large, unknown or malformed."""
+    """A frame is too large, malformed or of an unknown type."""
 
 
 class StoreDamaged(TrefoilError):
-    """A synced record of the store does not read back.
+    """A synced record of the store cannot be read back.
 
-    The process must not vote with what is left: it comes back under a new
-    identity as a learner.
+    The process must not vote with the remaining records: it rejoins as a
+    learner under a new identity.
     """
 
 
-class DiskRefused(TrefoilError):
-    """The disk did not take a write; nothing of it may be vouched for."""
+class DiskWriteError(TrefoilError):
+    """A write to disk failed; none of its data may be acknowledged."""
 
 
 class ProtocolError(TrefoilError):
     """A caller, target or operator sent something malformed.
 
     Args:
-        status: HTTP status that answers it.
-        reason: One line for the sender.
+        status: HTTP status of the answer.
+        reason: One-line explanation for the sender.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/libs/model/src/trefoil_model/findings.py
+++ b/libs/model/src/trefoil_model/findings.py
@@ -1,4 +1,4 @@
-"""Findings: what is wrong with an input, and where."""
+"""Findings: problems in an input, with their positions."""
 
 import dataclasses
 import typing
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Place:
-    """A position in an input; line and column count from 1."""
+    """A position in an input; lines and columns are numbered from 1."""
 
     file: str
     line: int
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True, order=True)
 class Finding:
-    """One thing that is wrong, with its place."""
+    """One problem and its place in the input."""
 
     place: Place
     problem: str
@@ -28,7 +28,7 @@
 
 
 class Findings:
-    """A collection of findings that are reported together."""
+    """All findings of one input; iterates and prints in sorted order."""
 
     __slots__ = ("found",)
 
--- a/libs/model/src/trefoil_model/hashing.py
+++ b/libs/model/src/trefoil_model/hashing.py
@@ -1,27 +1,27 @@
-"""Hashes that every process computes alike."""
+"""Hashes that are the same in every process."""
 
 import collections.abc
 
 import xxhash
 
 SIGN_BIT = 1 << 63
-WRAP = 1 << 64
+MODULUS = 1 << 64
 
 
 def hash64(data: bytes) -> int:
-    """Return a signed 64-bit hash, which fits a Thrift i64."""
+    """Return a hash as a signed 64-bit integer, the range of Thrift's i64."""
     value = xxhash.xxh3_64_intdigest(data)
-    return value - WRAP if value >= SIGN_BIT else value
+    return value - MODULUS if value >= SIGN_BIT else value
 
 
 def rank(
     key: str, names: collections.abc.Iterable[str]
 ) -> collections.abc.Sequence[str]:
-    """Order names by rendezvous hash of a key, best first.
+    """Return names ordered by rendezvous hash of a key, highest weight first.
 
-    Adding or removing one name never reorders the others, so the first few
-    change by one at most. Source: highest random weight hashing (Thaler and
-    Ravishankar, 1998).
+    Adding or removing one name never reorders the others, so at most one of
+    the first n names changes. Source: highest random weight hashing (Thaler
+    and Ravishankar, 1998).
     """
     prefix = key.encode()
 
--- a/libs/model/src/trefoil_model/latency.py
+++ b/libs/model/src/trefoil_model/latency.py
@@ -1,8 +1,8 @@
-"""Latencies in logarithmic buckets that merge across processes.
+"""Latency histograms with logarithmic buckets, mergeable across processes.
 
-Each power of two of microseconds is cut into four buckets, so a bucket's
-bounds differ by 19%. A sparse map of bucket to count is what travels in
-evidence reports; operators read HdrHistogram quantiles instead.
+Each power of two of microseconds is divided into four buckets, so the bounds
+of a bucket differ by 19%. Evidence reports carry a sparse map from bucket to
+count. The quantiles that operators read come from HdrHistogram instead.
 """
 
 import collections.abc
@@ -19,22 +19,27 @@
 
 
 def bucket_floor_us(bucket: int) -> float:
-    """Return the smallest latency of a bucket, in microseconds."""
+    """Return the lower bound of a bucket, in microseconds."""
     return 2.0 ** (bucket / BUCKETS_PER_OCTAVE)
 
 
 def quantile_bucket(
     counts: collections.abc.Mapping[int, int], quantile: float
 ) -> int:
-    """Return the bucket that holds a quantile; -1 without counts."""
+    """Return the bucket that contains a quantile, or -1 without counts.
+
+    Args:
+        counts: Number of latencies by bucket.
+        quantile: Between 0 and 1.
+    """
     total = sum(counts.values())
     if not total:
         return -1
-    wanted = quantile * total
-    seen = 0
+    rank = quantile * total
+    cumulative = 0
     for bucket in sorted(counts):
-        seen += counts[bucket]
-        if seen >= wanted:
+        cumulative += counts[bucket]
+        if cumulative >= rank:
             return bucket
     return max(counts)
 
@@ -42,5 +47,5 @@
 def count_at_least(
     counts: collections.abc.Mapping[int, int], bucket: int
 ) -> int:
-    """Return how many latencies lie in a bucket or above it."""
-    return sum(count for at, count in counts.items() if at >= bucket)
+    """Return the number of latencies in a bucket and all higher ones."""
+    return sum(count for other, count in counts.items() if other >= bucket)
--- a/libs/model/src/trefoil_model/lines.py
+++ b/libs/model/src/trefoil_model/lines.py
@@ -1,23 +1,27 @@
-"""Log lines of key=value pairs, written and read back."""
+"""Format of log lines: key=value pairs."""
 
 import json
 
-PLAIN = frozenset(
+BARE_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_.:/#%+-"
 )
 
 
 def quote(value: object) -> str:
-    """Return a value so that it parses back: bare, or a JSON string."""
+    """Return a value as ``parse`` reads it: bare, or as a JSON string."""
     text = str(value)
-    if text and all(letter in PLAIN for letter in text):
+    if text and all(character in BARE_CHARACTERS for character in text):
         return text
     return json.dumps(text)
 
 
 def parse(line: str) -> dict[str, str]:
-    """Return the pairs of a log line."""
-    found = {}
+    """Return the keys and values of a log line.
+
+    Raises:
+        ValueError: A quoted value is not a valid JSON string.
+    """
+    pairs = {}
     decoder = json.JSONDecoder()
     rest = line.strip()
     while rest:
@@ -27,6 +31,6 @@
         else:
             end = (rest + " ").index(" ")
             value = rest[:end]
-        found[key] = value
+        pairs[key] = value
         rest = rest[end:].lstrip()
-    return found
+    return pairs
--- a/libs/model/src/trefoil_model/ports.py
+++ b/libs/model/src/trefoil_model/ports.py
@@ -1,22 +1,32 @@
-"""Ports that are opened before the rest of a program is loaded.
+"""Listening sockets that are opened before the rest of the program loads.
 
-A process that was killed needs a third of a second to load its libraries. A
-caller that connects meanwhile is refused, and has one try less; with the port
-open its connection waits in the kernel and is answered as soon as the process
-runs. This module imports nothing that takes time.
+A restarted process takes a third of a second to load its libraries. Callers
+that connect during that time would be refused, which uses up one of their
+attempts. With the port already open, their connections wait in the kernel's
+backlog until the process runs. This module therefore imports only modules
+that load quickly.
 """
 
 import re
 import socket
 
 BACKLOG = 512
-CALLERS_LINE = re.compile(r"^callers:\s*[\"']?([0-9.]+:[0-9]+)", re.MULTILINE)
+CALLERS_PATTERN = re.compile(
+    r"^callers:\s*[\"']?([0-9.]+:[0-9]+)", re.MULTILINE
+)
 
-opened: dict[str, socket.socket] = {}
+early_sockets: dict[str, socket.socket] = {}
 
 
 def open_port(address: str) -> socket.socket:
-    """Return a listening socket at an address, IP number and port."""
+    """Return a non-blocking listening socket.
+
+    Args:
+        address: IP number and port, as in ``127.0.0.1:8080``.
+
+    Raises:
+        OSError: The address cannot be bound.
+    """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -27,21 +37,31 @@
 
 
 def open_early(settings: str) -> None:
-    """Open the callers' port that the text of a settings file names.
+    """Open the port for callers that a settings file names.
+
+    A regular expression finds it, since a YAML parser loads too slowly. If
+    it does not match, or the port cannot be opened, ``take`` opens the port
+    once the settings have been checked.
 
-    Settings that do not name one so plainly are left to their checks; the
-    port is then opened later.
+    Args:
+        settings: Text of the settings file.
     """
-    found = CALLERS_LINE.search(settings)
-    if found is None:
+    match = CALLERS_PATTERN.search(settings)
+    if match is None:
         return
     try:
-        opened[found[1]] = open_port(found[1])
+        early_sockets[match[1]] = open_port(match[1])
     except OSError:
-        # Opening it again where it is used tells what is wrong with it.
+        # ``take`` opens the port again and raises the error.
         return
 
 
 def take(address: str) -> socket.socket:
-    """Return the listening socket of an address, opened early or now."""
-    return opened.pop(address, None) or open_port(address)
+    """Return the listening socket of an address.
+
+    It is opened now unless ``open_early`` has opened it.
+
+    Raises:
+        OSError: The address cannot be bound.
+    """
+    return early_sockets.pop(address, None) or open_port(address)
--- a/libs/model/tests/test_ports.py
+++ b/libs/model/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are open while a process is still loaded."""
+"""Ports that are opened while the process still loads its libraries."""
 
 import socket
 
@@ -8,18 +8,18 @@
 
 
 def free_address() -> str:
-    """Return an address that nobody uses."""
+    """Return an address with an unused port."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 @pytest.mark.parametrize("quote", ["", '"', "'"])
-def test_a_caller_that_connects_early_is_kept(quote: str) -> None:
+def test_a_connection_made_during_startup_is_accepted(quote: str) -> None:
     """A caller connects while the process still loads its libraries.
 
-    It was refused. Its connection now waits and its bytes are there when
-    the process takes the port over.
+    Without a listening socket it would be refused. Its connection and the
+    bytes that it sent must be available once the process takes the socket.
     """
     address = free_address()
     ports.open_early(f"host: h\ncallers: {quote}{address}{quote}\nready: x\n")
@@ -27,12 +27,12 @@
     with socket.create_connection((host, int(port))) as caller:
         caller.sendall(b"GET")
         listener = ports.take(address)
-        taken, _peer = listener.accept()
-        taken.setblocking(True)
-        assert taken.recv(3) == b"GET"
-        taken.close()
+        accepted, _peer = listener.accept()
+        accepted.setblocking(True)
+        assert accepted.recv(3) == b"GET"
+        accepted.close()
         listener.close()
-    assert ports.opened == {}
+    assert ports.early_sockets == {}
 
 
 @pytest.mark.parametrize(
@@ -41,14 +41,14 @@
 )
 def test_settings_without_a_plain_port_open_none(settings: str) -> None:
     ports.open_early(settings)
-    assert ports.opened == {}
+    assert ports.early_sockets == {}
 
 
-def test_a_port_in_use_is_told_where_it_is_taken() -> None:
+def test_a_port_in_use_raises_where_it_is_taken() -> None:
     address = free_address()
-    held = ports.open_port(address)
+    occupied = ports.open_port(address)
     ports.open_early(f"callers: {address}\n")
-    assert ports.opened == {}
+    assert ports.early_sockets == {}
     with pytest.raises(OSError):
         ports.take(address)
-    held.close()
+    occupied.close()
