--- a/libs/wire/src/trefoil_wire/__init__.py
+++ b/libs/wire/src/trefoil_wire/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between trefoilroute processes, and their frames."""
+"""Messages between trefoilroute processes and their framing."""
 
 from .gen import ttypes as messages
 
--- a/libs/wire/src/trefoil_wire/frames.py
+++ b/libs/wire/src/trefoil_wire/frames.py
@@ -1,8 +1,10 @@
-"""Frames: a length, the type of the struct, the struct, compressed or not.
+"""Framing of messages between processes.
 
-The length counts what follows it. A frame that is too large, of an unknown
-type or malformed raises ``FrameError``; the connection is then closed, since
-nothing after such a frame can be told apart.
+A frame is a four-byte length, a byte that names the type of the struct and
+the struct itself, which may be compressed. The length counts the bytes after
+it. A frame that is too large, malformed or of an unknown type raises
+``FrameError``; the connection must then be closed, since the start of the
+next frame is unknown.
 """
 
 import struct
@@ -20,7 +22,7 @@
 HEADER = struct.Struct(">IB")
 HEADER_BYTES = HEADER.size
 
-# The position of a type is its code on the wire: append, never reorder.
+# The index of a type is its code on the wire: append, never reorder.
 TYPES: tuple[type, ...] = (
     messages.ConfigDelta,
     messages.ConfigPull,
@@ -74,10 +76,10 @@
     messages.RepeatArrived,
     messages.EvacuateDomain,
 )
-# Configurations and lists of hosts repeat the same names hundreds of times:
-# documents that operators read and write were a third of what crossed between
-# failure domains on a calm day, and shrink to a tenth. Callers' requests and
-# answers are left as they are, for their latency.
+# Configurations and lists of hosts repeat the same names hundreds of times.
+# The documents that operators read and write make up a third of the bytes
+# between failure domains at low load; compression shrinks them to a tenth.
+# Callers' requests and answers are not compressed, which would add latency.
 COMPRESSED_TYPES = frozenset(
     (
         messages.ConfigDelta,
@@ -89,33 +91,35 @@
         messages.Reports,
     )
 )
-COMPRESS_BYTES = 512
-COMPRESSED = 0x80
+COMPRESS_MIN_BYTES = 512
+COMPRESSED_FLAG = 0x80
 CODES: dict[type, int] = {kind: code for code, kind in enumerate(TYPES)}
-FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
+PROTOCOL_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_FRAME_BYTES,
     container_length_limit=MAX_FRAME_BYTES,
 )
 
 
 def pack(record: typing.Any) -> bytes:
-    """Return a struct in the compact protocol, without a frame."""
+    """Return a struct in Thrift's compact protocol, without a frame."""
     buffer = TTransport.TMemoryBuffer()
-    record.write(FACTORY.getProtocol(buffer))
+    record.write(PROTOCOL_FACTORY.getProtocol(buffer))
     return buffer.getvalue()
 
 
 def unpack(kind: type, data: bytes) -> typing.Any:
-    """Read a struct of a known type.
+    """Read a struct of a given type.
 
     Raises:
-        FrameError: The bytes are not such a struct.
+        FrameError: The bytes are not a struct of this type.
     """
     record = kind()
     try:
-        record.read(FACTORY.getProtocol(TTransport.TMemoryBuffer(data)))
+        record.read(
+            PROTOCOL_FACTORY.getProtocol(TTransport.TMemoryBuffer(data))
+        )
     except Exception as error:
-        # The accelerated decoder raises whatever the damage leads to
+        # On malformed input the accelerated decoder raises various errors
         # (EOFError, TypeError, TProtocolException, UnicodeDecodeError).
         raise errors.FrameError(f"malformed {kind.__name__}: {error}")
     return record
@@ -125,33 +129,40 @@
     """Return a message as one frame."""
     body = pack(message)
     code = CODES[type(message)]
-    if type(message) in COMPRESSED_TYPES and len(body) >= COMPRESS_BYTES:
+    if type(message) in COMPRESSED_TYPES and len(body) >= COMPRESS_MIN_BYTES:
         body = zlib.compress(body, 1)
-        code |= COMPRESSED
+        code |= COMPRESSED_FLAG
     return HEADER.pack(len(body) + 1, code) + body
 
 
-def _inflate(data: bytes) -> bytes:
-    """Return a compressed body, unless it is larger than a frame may be."""
-    inflater = zlib.decompressobj()
+def _decompress(data: bytes) -> bytes:
+    """Return a decompressed body.
+
+    Raises:
+        FrameError: The data is malformed, truncated or decompresses to more
+            than ``MAX_FRAME_BYTES``.
+    """
+    decompressor = zlib.decompressobj()
     try:
-        body = inflater.decompress(data, MAX_FRAME_BYTES)
+        body = decompressor.decompress(data, MAX_FRAME_BYTES)
     except zlib.error as error:
         raise errors.FrameError(f"malformed compression: {error}")
-    if not inflater.eof:
-        # A few bytes may inflate to gigabytes; a process that took them all
-        # would run out of memory.
-        raise errors.FrameError("cut off, or larger than a frame may be")
+    if not decompressor.eof:
+        # A few bytes can decompress to gigabytes; without the limit the
+        # process would run out of memory.
+        raise errors.FrameError(
+            "compressed body is truncated or decompresses to more than a frame"
+        )
     return body
 
 
 def pack_any(message: typing.Any) -> tuple[int, bytes]:
-    """Return a message's code and its bytes, for storing apart."""
+    """Return a message's type code and its bytes, to be stored separately."""
     return CODES[type(message)], pack(message)
 
 
 def unpack_any(code: int, data: bytes) -> typing.Any:
-    """Read a struct by its code.
+    """Read a struct by its type code.
 
     Raises:
         FrameError: The code is unknown or the bytes are malformed.
@@ -162,10 +173,10 @@
 
 
 class FrameReader:
-    """Cuts a byte stream into messages, in bounded memory.
+    """Decodes messages from a byte stream, in bounded memory.
 
     Args:
-        limit: Largest frame in bytes.
+        limit: Largest accepted length of a frame, in bytes.
     """
 
     __slots__ = ("buffer", "limit")
@@ -175,26 +186,28 @@
         self.limit = limit
 
     def feed(self, data: bytes) -> list[typing.Any]:
-        """Take bytes and return the messages that are now whole.
+        """Add received bytes and return the messages that are now complete.
 
         Raises:
-            FrameError: The stream can no longer be read.
+            FrameError: A frame is invalid; the stream cannot be read further.
         """
         buffer = self.buffer + data if self.buffer else data
-        found = []
+        decoded = []
         start = 0
         end = len(buffer)
         while end - start >= HEADER_BYTES:
             length, code = HEADER.unpack_from(buffer, start)
             if not 1 <= length <= self.limit:
-                raise errors.FrameError(f"frame of {length} bytes")
-            stop = start + 4 + length
-            if stop > end:
+                raise errors.FrameError(
+                    f"invalid frame length: {length} bytes"
+                )
+            frame_end = start + 4 + length
+            if frame_end > end:
                 break
-            body = buffer[start + HEADER_BYTES : stop]
-            if code & COMPRESSED:
-                code, body = code & ~COMPRESSED, _inflate(body)
-            found.append(unpack_any(code, body))
-            start = stop
+            body = buffer[start + HEADER_BYTES : frame_end]
+            if code & COMPRESSED_FLAG:
+                code, body = code & ~COMPRESSED_FLAG, _decompress(body)
+            decoded.append(unpack_any(code, body))
+            start = frame_end
         self.buffer = buffer[start:]
-        return found
+        return decoded
--- a/libs/wire/tests/test_frames.py
+++ b/libs/wire/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Contract of frames between processes."""
+"""Encoding, decoding and limits of frames between processes."""
 
 import json
 import zlib
@@ -25,29 +25,29 @@
 
 
 @pytest.mark.parametrize("kind", frames.TYPES, ids=lambda kind: kind.__name__)
-def test_every_type_travels_empty(kind: type) -> None:
+def test_an_empty_struct_of_every_type_is_decoded(kind: type) -> None:
     encoded = frames.encode(kind())
     assert frames.FrameReader().feed(encoded) == [kind()]
 
 
 @pytest.mark.parametrize("size", [1, 2, 5, 7, 64])
-def test_pieces_make_the_same_messages(size: int) -> None:
+def test_frames_split_at_any_byte_are_decoded(size: int) -> None:
     data = frames.encode(REQUEST) * 3
     reader = frames.FrameReader()
-    found = []
+    decoded = []
     for start in range(0, len(data), size):
-        found.extend(reader.feed(data[start : start + size]))
-    assert found == [REQUEST] * 3
+        decoded.extend(reader.feed(data[start : start + size]))
+    assert decoded == [REQUEST] * 3
     assert reader.buffer == b""
 
 
 @pytest.mark.parametrize(
     ("case", "data"),
     [
-        ("no length", b"\x00\x00\x00\x00\x00"),
+        ("zero length", b"\x00\x00\x00\x00\x00"),
         ("too long", b"\x7f\xff\xff\xff\x00"),
         ("unknown type", b"\x00\x00\x00\x02\xff\x00"),
-        ("cut struct", frames.HEADER.pack(3, 22) + b"\x18\x05"),
+        ("truncated struct", frames.HEADER.pack(3, 22) + b"\x18\x05"),
         ("not a struct", frames.HEADER.pack(9, 22) + b"\xff" * 8),
     ],
 )
@@ -62,11 +62,11 @@
         reader.feed(frames.HEADER.pack(1001, 22) + b"x" * 10)
 
 
-def test_a_large_reply_to_an_operator_travels_small() -> None:
-    """A document of three hundred routes is read at a host that passes on.
+def test_a_large_reply_to_an_operator_is_compressed() -> None:
+    """An operator reads a document of three hundred routes via another host.
 
-    It repeats the same names, so it crosses between failure domains at a
-    fraction of its size.
+    The document repeats the same names. Uncompressed, such replies would be
+    a large part of the bytes between failure domains.
     """
     reply = messages.QueryReply(body=json.dumps([ROUTE] * 300))
     encoded = frames.encode(reply)
@@ -83,12 +83,12 @@
     ("case", "body"),
     [
         ("not compressed", b"plain bytes"),
-        ("cut off", zlib.compress(b"x" * 1000)[:-4]),
-        ("a bomb", zlib.compress(bytes(frames.MAX_FRAME_BYTES + 1))),
+        ("truncated", zlib.compress(b"x" * 1000)[:-4]),
+        ("zip bomb", zlib.compress(bytes(frames.MAX_FRAME_BYTES + 1))),
     ],
 )
 def test_bad_compression_is_refused(case: str, body: bytes) -> None:
-    code = frames.CODES[messages.QueryReply] | frames.COMPRESSED
+    code = frames.CODES[messages.QueryReply] | frames.COMPRESSED_FLAG
     data = frames.HEADER.pack(len(body) + 1, code) + body
     with pytest.raises(errors.FrameError):
         frames.FrameReader().feed(data)
