--- a/libs/wire/trefoil.thrift
+++ b/libs/wire/trefoil.thrift
@@ -1,9 +1,9 @@
 /*
  * Messages between trefoilroute processes.
  *
- * Times ending in _ms are milliseconds. Shares are permille (0 to 1000).
- * A frame is a four-byte length, one byte naming the type (see frames.py)
- * and the struct in Thrift's compact protocol.
+ * Fields ending in _ms are milliseconds, those ending in _us microseconds.
+ * Shares are permille (0 to 1000). A frame is a four-byte length, one byte
+ * for the type (see frames.py) and the struct in Thrift's compact protocol.
  */
 namespace py trefoil_wire.gen
 
@@ -11,7 +11,7 @@
 
 enum Repeat { ANY = 1, ONCE = 2 }
 
-/* An empty version stands for every version that no other share names. */
+/* An empty version stands for all versions that no other share names. */
 struct Service {
   1: string name,
   2: list<string> resources,
@@ -19,13 +19,13 @@
   4: double retry_budget = 0.2,
   5: string health_path = "",
   6: i32 max_connections = 0,
-  // How long a target is cold after its start, and how many requests a second
-  // it bears meanwhile; 0 for any number.
+  // How long a target is cold after its start, and the requests per second
+  // that it may get during that time; 0 for no limit.
   7: i32 warmup_ms = 0,
   8: double warmup_per_s = 0,
 }
 
-/* A part of a route's requests, by weight. */
+/* A service that gets a part of a route's requests, in proportion to weight. */
 struct Backend { 1: string service_name, 2: double weight }
 
 /* Without backends, all requests go to service_name. */
@@ -45,7 +45,7 @@
   13: i32 latency_aim_ms = 0,
 }
 
-/* What callers may send; 0 keeps the process's own default. */
+/* Limits for requests of callers; 0 keeps the default of the process. */
 struct CallerLimits {
   1: i32 max_head_bytes = 0,
   2: i64 max_body_bytes = 0,
@@ -62,7 +62,7 @@
 }
 
 struct Drain { 1: string host }
-/* Nothing is sent to the targets of a failure domain while it has one. */
+/* While a failure domain has one, its targets get no requests. */
 struct Evacuation {
   1: string domain, 2: string operator_name, 3: i64 since_ms,
   4: string reason = "",
@@ -114,14 +114,14 @@
 struct JoinRequest { 1: string identity, 2: string name, 3: string address }
 struct AdoptVersion { 1: string service_name, 2: string version }
 
-/* ---- operators' commands, agreed through the log ---- */
+/* ---- commands of operators, agreed through the log ---- */
 
-/* Why a command was not run. */
+/* The reason why a command was not run. */
 enum Cause { OTHER = 0, CONFLICT = 1, INVALID = 2 }
 enum Outcome { DONE = 1, TAKEN_BACK = 2, NOT_RUN = 3, PENDING = 4, EXPIRED = 5 }
 
-/* The document that the configuration was made from, as its writer sent it.
-   Its number is the writer's own; each must be above the one before. */
+/* The document of a configuration, as its writer sent it. The writer chooses
+   its number, which must be greater than that of the previous document. */
 struct Document { 1: i64 number, 2: i64 base, 3: binary text }
 struct ApplyConfiguration {
   1: list<Service> services, 2: list<Route> routes,
@@ -129,8 +129,8 @@
   4: CallerLimits limits,
   5: Document document,
 }
-/* An empty from_version is whichever version is in force. With a duration
-   the deadline is that long after the move was agreed. */
+/* An empty from_version is the version in force. If a duration is given, the
+   deadline is that long after the move was agreed. */
 struct StartMove {
   1: string service_name, 2: string from_version, 3: string to_version,
   4: i64 deadline_ms, 5: i32 risk_permille, 6: i64 watch_ms,
@@ -142,8 +142,9 @@
 struct EndMove { 1: string move_id, 2: Outcome outcome, 3: string reason }
 struct ReverseMove { 1: string service_name }
 struct DrainHost { 1: string host, 2: bool draining }
-/* Evacuate a failure domain, or take it back. known_revision: the newest
-   revision that its sender knew; 0 for a command that is run in any case. */
+/* Evacuates a failure domain or returns it to service. known_revision: the
+   newest revision that the sender knew; the command is not run if the domain
+   has changed since. 0 runs it in any case. */
 struct EvacuateDomain {
   1: string domain, 2: bool evacuated, 3: i64 known_revision = 0,
   4: string reason = "",
@@ -151,8 +152,8 @@
 struct CancelCommand { 1: string cancelled_id }
 struct Noop { 1: i64 term }
 
-/* The id of a command with content_id is made from its content: sent again,
-   also by another process at another time, it is the same command. */
+/* With content_id the id of a command is derived from its content. The same
+   content is then the same command, whichever process sends it and when. */
 struct Command {
   1: string command_id,
   2: string operator_name,
@@ -167,8 +168,8 @@
   1: string command_id, 2: Outcome outcome, 3: string reason,
   4: i64 revision, 5: i32 retry_after_ms = 0, 6: Cause cause = 0,
 }
-/* A query is a line of the operators' language or, from a machine, a kind
-   and what it asks about. */
+/* A query is a line of the operators' language or, if a program sends it, a
+   kind and a subject. */
 enum QueryKind { LINE = 0, DOCUMENT = 1, MOVE = 2 }
 struct Query {
   1: string query_id, 2: string line, 3: i32 hops = 0,
@@ -204,9 +205,10 @@
   1: string name, 2: string service_name, 3: string version,
   4: list<string> resources, 5: i32 slots, 6: TargetState state,
   7: bool tells_warmup = false,
-  // Usual time of a request there, as its own proxy measured; 0 if unknown.
+  // Usual run time of a request, measured by the target's own proxy; 0 if
+  // unknown.
   8: i32 usual_us = 0,
-  // Requests a second that it gets while it is cold; 0 for any number.
+  // Requests per second that it may get while it is cold; 0 for no limit.
   9: double cold_per_s = 0,
 }
 struct HostRecord {
@@ -221,15 +223,15 @@
 struct HelloReply {
   1: Hello hello, 2: bool accepted, 3: i32 retry_after_ms,
 }
-/* The control hosts as the agreement knows them; the greater number is the
-   newer list. */
+/* The agreed control hosts. Of two lists, that with the greater number is
+   newer. */
 struct ControlHost { 1: string name, 2: string address, 3: string domain }
 struct ControlHosts { 1: i64 number, 2: list<ControlHost> hosts }
 struct Report {
   1: string host, 2: i64 incarnation, 3: i64 revision, 4: string rejected,
   5: i32 age_ms,
 }
-/* led: whether a control host hears from the agreement's leader. */
+/* led: whether the sending control host is in contact with the leader. */
 struct Heartbeat {
   1: i64 revision, 2: i64 config_digest, 3: i64 records_digest,
   4: bool led = true,
@@ -264,44 +266,47 @@
 
 /* ---- requests ---- */
 
-/* aim_ms: time left until the answer is late for the route's aim. settled:
-   take it into the queue, though a target elsewhere may be freer. body_bytes:
-   length of a body that waits at its sender and is asked for by BodyPull. */
+/* aim_ms: time left to meet the route's latency target. settled: the target
+   may queue the request, although another target may have a free slot.
+   body_bytes: length of a body that the sender keeps until a BodyPull requests
+   it. */
 struct Request {
   1: i64 request_id, 2: string route, 3: string method, 4: string path,
   5: binary headers, 6: binary body, 7: i32 deadline_ms, 8: string target,
   9: i32 crashes = 0, 10: i64 fingerprint, 11: string version,
   12: bool retried = false, 13: i32 priority = 0, 14: string caller_id = "",
   15: i32 aim_ms = 0, 16: bool settled = false, 17: i32 body_bytes = 0,
-  // The services of the targets beside its entry proxy, in order, by commas.
+  // Services of the targets on the entry proxy's host, sorted, joined by
+  // commas.
   18: string services_key = "",
-  // How likely a target saw it already, or its caller's run was a repeat.
+  // Probability that a target has received the request before, or that the
+  // run that sent it was itself a repeat.
   19: i32 repeat_permille = 0,
 }
-/* A request that its entry proxy sent once more is at its target. */
+/* A request that its entry proxy sent again has reached its target. */
 struct RepeatArrived { 1: i64 request_id }
 struct BodyPull { 1: i64 request_id, 2: i32 offset, 3: i32 length }
 struct BodyPiece { 1: i64 request_id, 2: i32 offset, 3: binary data }
-/* full: refused only since no slot was free at once.
-   load: requests that run or wait at the target, -1 if not told.
-   ran: it may have run. shed: the target itself refused it. unusable: what
-   came from the target can't be given to a caller. */
+/* full: refused only because no slot was free at once.
+   load: requests that run or wait at the target, -1 if not reported.
+   ran: the request may have run. shed: the target itself refused it.
+   unusable: the target's response cannot be passed to a caller. */
 struct Answer {
   1: i64 request_id, 2: i32 status, 3: string reason, 4: binary headers,
   5: binary body, 6: bool ran, 7: i32 retry_after_ms = 0,
   8: i32 service_us = 0, 9: bool crashed = false, 10: bool sole = false,
   11: bool shed = false, 12: bool unusable = false, 13: i32 load = -1,
   14: bool full = false,
-  // Usual time of a request at that target by now; 0 if unknown.
+  // Current usual run time of a request at that target; 0 if unknown.
   15: i32 usual_us = 0,
-  // How long a large body waits for those before it on the host's link.
+  // How long a large body waits on the host's link for those ahead of it.
   16: i32 body_wait_ms = 0,
-  // The part of the requests of this route, from proxies beside the same
-  // services, that those services' targets seem to send; less than none where
-  // others send more, -10000 if not told.
+  // Estimated share of this route's requests, from proxies on hosts with the
+  // same services, that the targets of those services send. Negative where
+  // other hosts send more requests; -10000 if not reported.
   17: i32 called_permille = -10000,
   // How long the target's proxy had the request; the rest of the time that
-  // its entry proxy sees went to the links between them.
+  // the entry proxy measures was spent on the links between them.
   18: i32 held_ms = 0,
 }
 struct Cancel { 1: i64 request_id }
