--- a/libs/daemon/src/trefoil_daemon/reload.py
+++ b/libs/daemon/src/trefoil_daemon/reload.py
@@ -8,7 +8,7 @@
 # Often enough that a change without a signal is in use within two seconds.
 POLL_MS = 1000
 
-Load = typing.Callable[[], setting_store.Checked]
+Load = typing.Callable[[], setting_store.ParseResult]
 
 
 class Reloader:
@@ -32,7 +32,7 @@
         """Read the file at the next poll, changed or not."""
         self.wanted = True
 
-    def poll(self, now_ms: int) -> setting_store.Checked | None:
+    def poll(self, now_ms: int) -> setting_store.ParseResult | None:
         """Return what the file says now, None if it has not changed."""
         if not self.wanted and now_ms < self.poll_at_ms:
             return None
--- a/libs/model/src/trefoil_model/ports.py
+++ b/libs/model/src/trefoil_model/ports.py
@@ -22,7 +22,7 @@
     """Return a non-blocking listening socket.
 
     Args:
-        address: IP number and port, as in ``127.0.0.1:8080``.
+        address: IPv4 address and port, as in ``127.0.0.1:8080``.
 
     Raises:
         OSError: The address cannot be bound.
--- a/libs/settings/src/trefoil_settings/__init__.py
+++ b/libs/settings/src/trefoil_settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and configuration documents in YAML, checked as a whole."""
+"""Parsing and validation of settings and configuration documents in YAML."""
--- a/libs/settings/src/trefoil_settings/configuration.py
+++ b/libs/settings/src/trefoil_settings/configuration.py
@@ -18,8 +18,8 @@
 MAX_ATTEMPTS = 100
 MAX_WEIGHT = 1_000_000
 MAX_CONNECTIONS = 100_000
-MAX_RATE = 1_000_000
-MAX_NUMBER = (1 << 63) - 1
+MAX_WARMUP_PER_S = 1_000_000
+MAX_DOCUMENT_NUMBER = (1 << 63) - 1
 MAX_HEAD_BYTES = 1 << 20
 MAX_BODY_BYTES = 1 << 30
 
@@ -31,7 +31,7 @@
         (
             "retry_budget",
             schema.Field(
-                schema.Number(0, 1, whole=False),
+                schema.Number(0, 1, integer=False),
                 default=DEFAULT_RETRY_BUDGET,
             ),
         ),
@@ -43,7 +43,9 @@
         ("warmup", schema.Field(schema.Duration(), default=0)),
         (
             "warmup_per_s",
-            schema.Field(schema.Number(0, MAX_RATE, whole=False), default=0),
+            schema.Field(
+                schema.Number(0, MAX_WARMUP_PER_S, integer=False), default=0
+            ),
         ),
     ),
     lambda warmup, **rest: messages.Service(warmup_ms=warmup, **rest),
@@ -55,7 +57,7 @@
         (
             "weight",
             schema.Field(
-                schema.Number(0, MAX_WEIGHT, whole=False), required=True
+                schema.Number(0, MAX_WEIGHT, integer=False), required=True
             ),
         ),
     ),
@@ -124,8 +126,14 @@
         ("services", schema.Field(schema.ListOf(SERVICE), required=True)),
         ("routes", schema.Field(schema.ListOf(ROUTE), default=[])),
         ("limits", schema.Field(LIMITS)),
-        ("number", schema.Field(schema.Number(0, MAX_NUMBER), default=0)),
-        ("base", schema.Field(schema.Number(0, MAX_NUMBER), default=0)),
+        (
+            "number",
+            schema.Field(schema.Number(0, MAX_DOCUMENT_NUMBER), default=0),
+        ),
+        (
+            "base",
+            schema.Field(schema.Number(0, MAX_DOCUMENT_NUMBER), default=0),
+        ),
     ),
     lambda number, base, **rest: messages.ApplyConfiguration(
         document=messages.Document(number, base, b"") if number else None,
@@ -133,16 +141,21 @@
     ),
 )
 
-Checked = expression.Result[
+ParseResult = expression.Result[
     messages.ApplyConfiguration, finding_store.Findings
 ]
 
 
-def parse(text: str, *, file: str = "configuration") -> Checked:
-    """Return the configuration in a text, or every finding.
+def parse(text: str, *, file: str = "configuration") -> ParseResult:
+    """Return the configuration in a text, or all its findings.
+
+    Requests of a route are repeated only if it says ``repeat: any``. The
+    default is ``once``, since a repeated request could, for example, charge a
+    deposit twice.
 
-    A route may be repeated only where its document says ``repeat: any``;
-    the default is the one that can't charge a deposit twice.
+    Args:
+        text: The YAML text.
+        file: Name of the file, for the places of findings.
     """
     reader = schema.Reader(file)
     document = reader.parse(text, DOCUMENT)
--- a/libs/settings/src/trefoil_settings/schema.py
+++ b/libs/settings/src/trefoil_settings/schema.py
@@ -1,4 +1,8 @@
-"""A small schema over YAML nodes that keeps the place of every finding."""
+"""Validation of YAML nodes against a schema, with the place of each finding.
+
+The classes describe the kinds of values; ``read`` converts a node to a value
+of a kind and records what is wrong with it.
+"""
 
 import dataclasses
 import functools
@@ -14,28 +18,38 @@
 DURATION_MS = {"ms": 1, "s": 1000, "m": 60_000, "h": 3_600_000}
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 MAX_PORT = 65535
-FLAGS = {"true": True, "false": False}
+FLAG_VALUES = {"true": True, "false": False}
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Text:
-    """Any text on one line."""
+    """A scalar as text.
+
+    Args:
+        choices: The allowed texts; empty for any.
+    """
 
     choices: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Name:
-    """A name of letters, digits, dots, dashes and underscores."""
+    """A name of up to 64 letters, digits, dots, dashes and underscores."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Number:
-    """A number within bounds."""
+    """A number within bounds.
 
-    least: float
-    most: float
-    whole: bool = True
+    Args:
+        minimum: Smallest allowed value.
+        maximum: Largest allowed value.
+        integer: Whether it must be an integer.
+    """
+
+    minimum: float
+    maximum: float
+    integer: bool = True
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -45,24 +59,32 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Duration:
-    """A time such as ``250ms``, ``2s`` or ``10m``; read as milliseconds."""
+    """A duration such as ``250ms``, ``2s`` or ``10m``, in milliseconds."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Address:
-    """An IP number and port, ``127.0.0.1:8080``."""
+    """An IPv4 address and port, such as ``127.0.0.1:8080``."""
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ListOf:
-    """A list of one kind."""
+    """A list.
+
+    Args:
+        kind: Kind of its items.
+    """
 
     kind: typing.Any
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class MapOf:
-    """A mapping from names to one kind."""
+    """A mapping from names to values.
+
+    Args:
+        kind: Kind of its values.
+    """
 
     kind: typing.Any
 
@@ -72,9 +94,9 @@
     """One key of a record.
 
     Args:
-        kind: What its value must be.
-        required: Whether it must be there.
-        default: Its value where it is not.
+        kind: Kind of its value.
+        required: Whether the key must be present.
+        default: Value if the key is absent.
     """
 
     kind: typing.Any
@@ -84,11 +106,11 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Record:
-    """A mapping with known keys; others are findings.
+    """A mapping with a fixed set of keys; any other key is a finding.
 
     Args:
-        fields: The keys.
-        make: Builds the value from the keys' values.
+        fields: The keys and their fields.
+        make: Called with the fields' values as keywords; returns the record.
     """
 
     fields: tuple[tuple[str, Field], ...]
@@ -98,8 +120,10 @@
 class Reader:
     """Reads one YAML text and collects its findings.
 
+    ``places`` holds the place of each record, by the record's ``id``.
+
     Args:
-        file: Name of the file, for places.
+        file: Name of the file, for the places of findings.
     """
 
     __slots__ = ("file", "findings", "places")
@@ -110,7 +134,12 @@
         self.places: dict[int, finding_store.Place] = {}
 
     def parse(self, text: str, kind: typing.Any) -> typing.Any:
-        """Return the value of a text; findings are collected."""
+        """Return the value of a text, or None after a finding.
+
+        Args:
+            text: The YAML text.
+            kind: Kind of its value.
+        """
         try:
             node = yaml.compose(text, Loader=yaml.SafeLoader)
         except yaml.YAMLError as error:
@@ -133,7 +162,7 @@
         return read(kind, self, node)
 
     def place(self, node: yaml.Node) -> finding_store.Place:
-        """Return where a node stands."""
+        """Return the place where a node starts."""
         mark = node.start_mark
         return finding_store.Place(self.file, mark.line + 1, mark.column + 1)
 
@@ -141,17 +170,34 @@
         """Record a finding at a node."""
         self.findings.add(self.place(node), text)
 
-    def scalar(self, node: yaml.Node, wanted: str) -> str | None:
-        """Return a scalar's text, or record what was wanted."""
+    def scalar(self, node: yaml.Node, expected: str) -> str | None:
+        """Return a scalar's text, or None after a finding.
+
+        Args:
+            node: The node.
+            expected: What the finding says was expected.
+        """
         if isinstance(node, yaml.ScalarNode):
             return node.value
-        self.problem(node, f"expected {wanted}")
+        self.problem(node, f"expected {expected}")
         return None
 
 
 @functools.singledispatch
 def read(kind: typing.Any, reader: Reader, node: yaml.Node) -> typing.Any:
-    """Return a node's value by its kind; None after a finding."""
+    """Return a node's value, or None after a finding.
+
+    A list or a mapping of names is returned even if some of its values are
+    None; the reader's findings tell whether the text is valid.
+
+    Args:
+        kind: Kind of the value, an instance of one of the classes above.
+        reader: Collects the findings.
+        node: The node.
+
+    Raises:
+        TypeError: There is no such kind.
+    """
     raise TypeError(f"no such kind: {kind!r}")
 
 
@@ -159,8 +205,8 @@
 def _(kind: Text, reader: Reader, node: yaml.Node) -> typing.Any:
     text = reader.scalar(node, "text")
     if text is not None and kind.choices and text not in kind.choices:
-        wanted = ", ".join(kind.choices)
-        reader.problem(node, f"{text!r} is none of {wanted}")
+        expected = ", ".join(kind.choices)
+        reader.problem(node, f"{text!r} is none of {expected}")
         return None
     return text
 
@@ -180,13 +226,13 @@
     if text is None:
         return None
     try:
-        value = int(text) if kind.whole else float(text)
+        value = int(text) if kind.integer else float(text)
     except ValueError:
         reader.problem(node, f"{text!r} is not a number")
         return None
-    if not kind.least <= value <= kind.most:
+    if not kind.minimum <= value <= kind.maximum:
         reader.problem(
-            node, f"{text} is not between {kind.least} and {kind.most}"
+            node, f"{text} is not between {kind.minimum} and {kind.maximum}"
         )
         return None
     return value
@@ -195,10 +241,10 @@
 @read.register
 def _(kind: Flag, reader: Reader, node: yaml.Node) -> typing.Any:
     text = reader.scalar(node, "true or false")
-    if text is not None and text not in FLAGS:
+    if text is not None and text not in FLAG_VALUES:
         reader.problem(node, f"{text!r} is neither true nor false")
         return None
-    return FLAGS.get(text)
+    return FLAG_VALUES.get(text)
 
 
 @read.register
@@ -206,11 +252,11 @@
     text = reader.scalar(node, "a time such as 2s")
     if text is None:
         return None
-    found = DURATION.fullmatch(text)
-    if found is None:
+    match = DURATION.fullmatch(text)
+    if match is None:
         reader.problem(node, f"{text!r} is not a time such as 250ms or 2s")
         return None
-    return int(float(found.group(1)) * DURATION_MS[found.group(2)])
+    return int(float(match.group(1)) * DURATION_MS[match.group(2)])
 
 
 @read.register
@@ -225,7 +271,7 @@
     except ValueError:
         valid = False
     if not valid:
-        reader.problem(node, f"{text!r} is not an IP number and port")
+        reader.problem(node, f"{text!r} is not an IPv4 address and port")
         return None
     return text
 
@@ -243,13 +289,13 @@
     if not isinstance(node, yaml.MappingNode):
         reader.problem(node, "expected a mapping")
         return None
-    found = {}
+    values = {}
     for key, value in node.value:
         name = read(Name(), reader, key)
-        if name in found:
+        if name in values:
             reader.problem(key, f"{name!r} stands twice")
-        found[name] = read(kind.kind, reader, value)
-    return found
+        values[name] = read(kind.kind, reader, value)
+    return values
 
 
 @read.register
@@ -276,6 +322,6 @@
             values[name] = field.default
     if len(reader.findings) > before:
         return None
-    made = kind.make(**values)
-    reader.places[id(made)] = reader.place(node)
-    return made
+    record = kind.make(**values)
+    reader.places[id(record)] = reader.place(node)
+    return record
--- a/libs/settings/src/trefoil_settings/settings.py
+++ b/libs/settings/src/trefoil_settings/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the two daemons."""
+"""Settings of the proxy and control daemons."""
 
 import dataclasses
 import pathlib
@@ -23,37 +23,40 @@
         host: Name of this host, unique in the fleet.
         domain: Its failure domain.
         region: Its region.
-        callers: Address that takes callers' HTTP requests.
-        peers: Address that takes frames from other processes.
-        advertise: Address under which other processes reach ``peers``, where
-            a port is forwarded; empty for ``peers`` itself.
-        admin: Address that takes targets' announcements and operators.
+        callers: Address that listens for callers' HTTP requests.
+        peers: Address that listens for connections of other processes.
+        advertise: Address under which other processes reach ``peers`` if its
+            port is forwarded; empty for ``peers`` itself.
+        admin: Address that listens for targets' announcements and operators'
+            commands.
         controls: Address of each control process by name.
         seeds: Address of each seed of this failure domain by name.
-        statsd: Address of a statsd server; no metrics are sent without.
-        log_level: Least level that is logged.
-        max_body_mib: Largest body of a request or an answer.
-        lease_ms: How long an announced target counts without a renewal.
-        grace_ms: How long after it was told to leave the process is killed;
-            it ends half a second sooner at the latest.
-        linger_ms: How long a shutdown goes on taking requests, so that
-            callers who have not heard of it yet are still served; 0
-            refuses new requests at once.
-        join: Control hosts to find the others by, where ``controls`` is
-            not given. Hosts are then named by their IP numbers, and all
-            take peers at the same port.
-        ready: Address that tells whether callers are served; empty for
-            none.
-        service: Service of this host's own target, told to the targets
+        statsd: Address of a statsd server; empty to send no metrics.
+        log_level: Lowest level that is logged.
+        max_body_mib: Largest body of a request or an answer, in MiB.
+        lease_ms: How long a target stays announced without a renewal.
+        grace_ms: Time from the request to shut down until the platform kills
+            the process. The process ends half a second earlier at the
+            latest.
+        linger_ms: How long a process that shuts down accepts new requests,
+            so that callers that do not know of the shutdown yet are still
+            served; 0 to refuse new requests at once.
+        join: Addresses of control hosts through which the others are found,
+            if ``controls`` is not given. Hosts are then named by their IP
+            addresses, and all listen for peers on the same port.
+        ready: Address of the readiness check, which reports whether callers
+            are served; empty for none.
+        service: Service of this host's own target, passed on to the targets
             that its calls reach.
-        retry_ratio: Most repeats that a service may have for each request,
-            whatever its configuration says.
-        retry_slack: Repeats a window that a service may have besides, all
-            proxies together; 0 for ten a proxy.
-        metrics: Address where metrics are read as text; empty for none.
-        cold_overage: How many times the rate that its service's
-            configuration tells a cold target may get.
-        cold_slack: How many requests a second it may get besides.
+        retry_ratio: Maximum number of repeats per request of a service; its
+            configuration cannot raise it.
+        retry_slack: Additional repeats per window for a service, for all
+            proxies together; 0 for ten per proxy.
+        metrics: Address that serves metrics as text; empty for none.
+        cold_overage: Highest rate of requests to a cold target, as a
+            multiple of the rate in its service's configuration.
+        cold_slack: Additional requests that a cold target may get in any
+            second.
     """
 
     host: str
@@ -82,24 +85,27 @@
 
     @property
     def known_controls(self) -> dict[str, str]:
-        """Return the control hosts that the settings tell of, by name."""
-        return self.controls or _joined(self.join, self.peers)
+        """Return the addresses of the configured control hosts by name."""
+        return self.controls or _peer_addresses(self.join, self.peers)
 
 
 @dataclasses.dataclass(slots=True)
 class MoveSettings:
-    """Knobs of moves that are set apart from the profile; None keeps it.
+    """Parameters of moves that override the profile; None keeps its value.
 
     Args:
         false_alarms: Share of good versions that may be taken back.
         tolerance: Difference of failure rates that does not matter.
-        first_share: First share of traffic, in percent.
-        requests_per_step: Requests a route must have shown at a step.
-        pace: Share of the time to the deadline that steps are spread over.
-        compare_ms: How long the old version is asked again after a fault.
+        first_share: Share of traffic at the first step, in percent.
+        requests_per_step: Requests to the new version that a route must
+            have at a step before the next step.
+        pace: Share of the time to the deadline that the steps are spread
+            over.
+        compare_ms: How long both versions serve side by side after a
+            suspicion at full traffic.
         exposed_part: Part of its service's requests that a version may get
-            before a fault of it is seen.
-        exposed_requests: Requests that it may get besides.
+            before a fault in it is detected.
+        exposed_requests: Requests that it may get in addition.
     """
 
     false_alarms: float | None = None
@@ -120,30 +126,33 @@
         host: Name of this control process.
         domain: Its failure domain.
         region: Its region.
-        peers: Address that takes frames from other processes.
-        advertise: Address under which other processes reach ``peers``, where
-            a port is forwarded; empty for ``peers`` itself.
-        admin: Address that takes operators' commands.
-        controls: Address of each control process by name, itself included.
-        voters: Names of the first voters.
-        data_folder: Where its durable state is.
-        statsd: Address of a statsd server; no metrics are sent without.
-        log_level: Least level that is logged.
-        heartbeat_ms: Pause between a leader's rounds.
-        election_ms: Shortest silence before an election.
-        snapshot_entries: Log entries after which a snapshot is taken.
-        profile: Which measure moves favour, ``balanced``, ``in-time`` or
-            ``cautious``.
-        moves: Knobs that are set apart from the profile.
-        join: Control hosts to find the others by, where ``controls`` is
-            not given. Hosts are then named by their IP numbers, and all
-            take peers at the same port.
+        peers: Address that listens for connections of other processes.
+        advertise: Address under which other processes reach ``peers`` if its
+            port is forwarded; empty for ``peers`` itself.
+        admin: Address that listens for operators' commands.
+        controls: Address of each control process by name, including this one.
+        voters: Names of the initial voters.
+        data_folder: Folder of its durable state.
+        statsd: Address of a statsd server; empty to send no metrics.
+        log_level: Lowest level that is logged.
+        heartbeat_ms: Interval between a leader's heartbeats.
+        election_ms: Minimum time without a leader before an election.
+        snapshot_entries: Number of log entries after which a snapshot is
+            taken.
+        profile: Profile of moves: ``balanced``, ``in-time``, which favors
+            finishing good versions by the deadline, or ``cautious``, which
+            favors taking bad versions back.
+        moves: Parameters of moves that override the profile.
+        join: Addresses of control hosts through which the others are found,
+            if ``controls`` is not given. Hosts are then named by their IP
+            addresses, and all listen for peers on the same port.
         found: Whether this is the first start of the deployment, with an
-            empty data folder: the hosts of ``join`` found the agreement.
-        lost_disks: How many control hosts may lose their disks at once
-            without losing what was acknowledged.
-        metrics: Address where metrics are read as text; empty for none.
-        domains: All failure domains; none are known without.
+            empty data folder, in which the hosts of ``join`` found the
+            agreement.
+        lost_disks: Number of control hosts that may lose their disks at the
+            same time without a loss of acknowledged data.
+        metrics: Address that serves metrics as text; empty for none.
+        domains: Names of all failure domains; empty if not known.
     """
 
     host: str
@@ -170,23 +179,23 @@
 
     @property
     def known_controls(self) -> dict[str, str]:
-        """Return the control hosts that the settings tell of, by name."""
-        return self.controls or _joined(self.join, self.peers)
+        """Return the addresses of the configured control hosts by name."""
+        return self.controls or _peer_addresses(self.join, self.peers)
 
     @property
     def founders(self) -> list[str]:
         """Return the names of the control hosts that found the agreement."""
-        return sorted(_joined(self.join, self.peers))
+        return sorted(_peer_addresses(self.join, self.peers))
 
 
-def _joined(join: list[str], peers: str) -> dict[str, str]:
-    """Return where hosts take peers, by their IP number."""
+def _peer_addresses(join: list[str], peers: str) -> dict[str, str]:
+    """Return the peer addresses of the hosts in ``join`` by IP address."""
     port = peers.rpartition(":")[2]
     ips = [address.rpartition(":")[0] for address in join]
     return {ip: f"{ip}:{port}" for ip in ips}
 
 
-COMMON: tuple[tuple[str, schema.Field], ...] = (
+COMMON_FIELDS: tuple[tuple[str, schema.Field], ...] = (
     ("host", schema.Field(schema.Name(), required=True)),
     ("domain", schema.Field(schema.Name(), required=True)),
     ("region", schema.Field(schema.Name(), default="default")),
@@ -201,7 +210,7 @@
 )
 
 PROXY = schema.Record(
-    COMMON
+    COMMON_FIELDS
     + (
         ("callers", schema.Field(schema.Address(), required=True)),
         ("seeds", schema.Field(schema.MapOf(schema.Address()), default={})),
@@ -209,19 +218,23 @@
         ("service", schema.Field(schema.Text(), default="")),
         (
             "retry_ratio",
-            schema.Field(schema.Number(0, 1, whole=False), default=1.0),
+            schema.Field(schema.Number(0, 1, integer=False), default=1.0),
         ),
         (
             "retry_slack",
-            schema.Field(schema.Number(0, 100_000, whole=False), default=0.0),
+            schema.Field(
+                schema.Number(0, 100_000, integer=False), default=0.0
+            ),
         ),
         (
             "cold_overage",
-            schema.Field(schema.Number(0.1, 100, whole=False), default=1.0),
+            schema.Field(schema.Number(0.1, 100, integer=False), default=1.0),
         ),
         (
             "cold_slack",
-            schema.Field(schema.Number(0, 100_000, whole=False), default=0.0),
+            schema.Field(
+                schema.Number(0, 100_000, integer=False), default=0.0
+            ),
         ),
         (
             "linger",
@@ -243,21 +256,21 @@
     (
         (
             "false_alarms",
-            schema.Field(schema.Number(0.0001, 0.2, whole=False)),
+            schema.Field(schema.Number(0.0001, 0.2, integer=False)),
         ),
-        ("tolerance", schema.Field(schema.Number(0, 0.2, whole=False))),
-        ("first_share", schema.Field(schema.Number(0.1, 100, whole=False))),
+        ("tolerance", schema.Field(schema.Number(0, 0.2, integer=False))),
+        ("first_share", schema.Field(schema.Number(0.1, 100, integer=False))),
         ("requests_per_step", schema.Field(schema.Number(1, 100_000))),
-        ("pace", schema.Field(schema.Number(0, 0.9, whole=False))),
+        ("pace", schema.Field(schema.Number(0, 0.9, integer=False))),
         ("compare", schema.Field(schema.Duration())),
-        ("exposed_part", schema.Field(schema.Number(0, 1, whole=False))),
+        ("exposed_part", schema.Field(schema.Number(0, 1, integer=False))),
         ("exposed_requests", schema.Field(schema.Number(0, 1_000_000))),
     ),
     lambda compare, **rest: MoveSettings(compare_ms=compare, **rest),
 )
 
 CONTROL = schema.Record(
-    COMMON
+    COMMON_FIELDS
     + (
         ("voters", schema.Field(schema.ListOf(schema.Name()), default=[])),
         ("found", schema.Field(schema.Flag(), default=False)),
@@ -287,29 +300,37 @@
     ),
 )
 
-KINDS = {"proxy": PROXY, "control": CONTROL}
-Checked = expression.Result[typing.Any, finding_store.Findings]
+SCHEMAS = {"proxy": PROXY, "control": CONTROL}
+ParseResult = expression.Result[typing.Any, finding_store.Findings]
 
 
-def parse(text: str, kind: str, *, file: str = "settings") -> Checked:
-    """Return the settings in a text, or every finding.
+def parse(text: str, kind: str, *, file: str = "settings") -> ParseResult:
+    """Return the settings in a text, or all its findings.
 
     Args:
         text: The YAML text.
         kind: ``proxy`` or ``control``.
-        file: Name for the findings' places.
+        file: Name of the file, for the places of findings.
+
+    Raises:
+        KeyError: There is no such kind.
     """
     reader = schema.Reader(file)
-    value = reader.parse(text, KINDS[kind])
+    value = reader.parse(text, SCHEMAS[kind])
     if value is not None:
-        _check_together(reader, value)
+        _check_consistency(reader, value)
     if reader.findings:
         return expression.Error(reader.findings)
     return expression.Ok(value)
 
 
-def load(path: str | pathlib.Path, kind: str) -> Checked:
-    """Return the settings in a file, or every finding."""
+def load(path: str | pathlib.Path, kind: str) -> ParseResult:
+    """Return the settings in a file, or all its findings.
+
+    Args:
+        path: The settings file; if it cannot be read, that is the finding.
+        kind: ``proxy`` or ``control``.
+    """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -320,43 +341,51 @@
     return parse(text, kind, file=str(path))
 
 
-def _check_together(reader: schema.Reader, value: typing.Any) -> None:
+def _check_consistency(reader: schema.Reader, value: typing.Any) -> None:
     place = reader.places[id(value)]
     if value.controls and value.join:
         reader.findings.add(place, "give controls or join, not both")
     if value.join and value.host != value.peers.rpartition(":")[0]:
         reader.findings.add(
-            place, "with join, host must be the IP number of peers"
+            place, "with join, host must be the IP address of peers"
         )
     if isinstance(value, ControlSettings):
         if value.controls and value.host not in value.controls:
-            reader.findings.add(place, f"controls lacks {value.host!r}")
+            reader.findings.add(
+                place, f"host {value.host!r} is not in controls"
+            )
         for voter in value.voters:
             if voter not in value.controls:
-                reader.findings.add(place, f"voter {voter!r} has no address")
+                reader.findings.add(
+                    place, f"voter {voter!r} is not in controls"
+                )
         if value.election_ms < 2 * value.heartbeat_ms:
             reader.findings.add(
                 place, "election must be at least twice heartbeat"
             )
     if not value.controls and not value.join:
-        reader.findings.add(place, "controls is empty, and so is join")
+        reader.findings.add(place, "give controls or join; both are empty")
 
 
 def render(value: typing.Any) -> str:
-    """Return settings as YAML, defaults filled in; times in ms."""
-    return yaml.safe_dump(_shown(value), sort_keys=True)
+    """Return settings as YAML that ``parse`` reads back.
+
+    Defaults are included, empty values are left out, and durations are in
+    milliseconds.
+    """
+    return yaml.safe_dump(_to_mapping(value), sort_keys=True)
 
 
-def _shown(value: typing.Any) -> dict[str, typing.Any]:
-    shown: dict[str, typing.Any] = {}
+def _to_mapping(value: typing.Any) -> dict[str, typing.Any]:
+    mapping: dict[str, typing.Any] = {}
     for field in dataclasses.fields(value):
         content = getattr(value, field.name)
         name = field.name
         if dataclasses.is_dataclass(content):
-            content = _shown(content)
+            content = _to_mapping(content)
         elif name.endswith("_ms") and content is not None:
             name = name.removesuffix("_ms")
             content = f"{content}ms"
         if content not in ("", None, {}, []):
-            shown[name] = content
-    return shown
+            mapping[name] = content
+    return mapping
--- a/libs/settings/tests/test_settings.py
+++ b/libs/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and configuration: every finding, with its place, at once."""
+"""Parsing of settings and configuration: defaults, findings and places."""
 
 import pytest
 
@@ -16,19 +16,19 @@
 """
 
 
-def test_defaults_are_filled_in_and_shown() -> None:
-    made = settings.parse(PROXY, "proxy").ok
-    assert (made.lease_ms, made.max_body_mib, made.region) == (
+def test_defaults_are_filled_in_and_rendered() -> None:
+    parsed = settings.parse(PROXY, "proxy").ok
+    assert (parsed.lease_ms, parsed.max_body_mib, parsed.region) == (
         3000,
         1,
         "default",
     )
-    shown = settings.render(made)
-    assert "lease: 3000ms" in shown
-    assert settings.parse(shown, "proxy").ok == made
+    rendered = settings.render(parsed)
+    assert "lease: 3000ms" in rendered
+    assert settings.parse(rendered, "proxy").ok == parsed
 
 
-def test_findings_come_together_in_order() -> None:
+def test_all_findings_are_reported_in_order() -> None:
     text = PROXY.replace("127.0.0.1:1\n", "localhost\n")
     text = text.replace("ariana", "a b").replace("{h1", "{'h 1'")
     text += "colour: red\nlease: soon\nhost: twice\n"
@@ -53,7 +53,7 @@
         ("tags", "!!python/object:os.system {}", "missing"),
     ],
 )
-def test_what_is_no_settings_file(case: str, text: str, problem: str) -> None:
+def test_invalid_settings_files(case: str, text: str, problem: str) -> None:
     assert problem in str(settings.parse(text, "proxy").error)
 
 
@@ -64,8 +64,8 @@
         "data_folder: x\nelection: 100ms\n"
     )
     found = str(settings.parse(text, "control").error)
-    assert "lacks 'c9'" in found
-    assert "voter 'c2' has no address" in found
+    assert "host 'c9' is not in controls" in found
+    assert "voter 'c2' is not in controls" in found
     assert "twice heartbeat" in found
 
 
@@ -82,12 +82,12 @@
 """
 
 
-def test_knobs_of_moves_are_shown_and_checked() -> None:
-    made = settings.parse(CONTROL, "control").ok
-    assert (made.moves.first_share, made.moves.compare_ms) == (2.5, 20_000)
-    assert settings.parse(settings.render(made), "control").ok == made
-    wrong = CONTROL.replace("2.5", "250").replace("compare", "comparing")
-    found = [str(f) for f in settings.parse(wrong, "control").error]
+def test_parameters_of_moves_are_rendered_and_checked() -> None:
+    parsed = settings.parse(CONTROL, "control").ok
+    assert (parsed.moves.first_share, parsed.moves.compare_ms) == (2.5, 20_000)
+    assert settings.parse(settings.render(parsed), "control").ok == parsed
+    invalid = CONTROL.replace("2.5", "250").replace("compare", "comparing")
+    found = [str(f) for f in settings.parse(invalid, "control").error]
     assert "9:22: 250 is not between" in found[0]
     assert "9:27: unknown key 'comparing'" in found[1]
 
@@ -100,10 +100,10 @@
 """
 
 
-def test_a_route_runs_once_unless_it_says_otherwise() -> None:
-    made = configuration.parse(DOCUMENT).ok
-    assert made.routes[0].repeat == configuration.REPEAT["once"]
-    assert made.routes[0].timeout_ms == 2000
+def test_requests_of_a_route_are_not_repeated_by_default() -> None:
+    parsed = configuration.parse(DOCUMENT).ok
+    assert parsed.routes[0].repeat == configuration.REPEAT["once"]
+    assert parsed.routes[0].timeout_ms == 2000
 
 
 @pytest.mark.parametrize(
@@ -116,11 +116,11 @@
         (("version: v1", "version: v 1"), "2:29: 'v 1' is not a name"),
     ],
 )
-def test_wrong_documents(change: tuple[str, str], problem: str) -> None:
+def test_invalid_documents(change: tuple[str, str], problem: str) -> None:
     text = DOCUMENT.replace(*change)
     assert problem in str(configuration.parse(text).error)
 
 
 def test_a_forwarded_port_is_advertised() -> None:
-    made = settings.parse(PROXY + "advertise: 10.0.0.9:77\n", "proxy").ok
-    assert (made.peers, made.advertise) == ("127.0.0.1:2", "10.0.0.9:77")
+    parsed = settings.parse(PROXY + "advertise: 10.0.0.9:77\n", "proxy").ok
+    assert (parsed.peers, parsed.advertise) == ("127.0.0.1:2", "10.0.0.9:77")
