--- a/bench/traces.py
+++ b/bench/traces.py
@@ -330,7 +330,9 @@
         self.collectors = [
             evidences.Collector("m", f"p{n}", 1) for n in range(PROXIES)
         ]
-        self.guards = [self._guard() for _ in range(PROXIES)]
+        self.version_comparisons = [
+            self._new_comparison() for _ in range(PROXIES)
+        ]
         self.halted = [False] * PROXIES
         self.shares = [0] * PROXIES
         self.share_changes: list[tuple[int, int, int, int]] = []
@@ -348,7 +350,7 @@
         self.event_at_ms = self.rng.uniform(8000, 60_000)
         self.event_domain = self.rng.randrange(DOMAINS)
 
-    def _guard(self) -> comparisons.VersionComparison:
+    def _new_comparison(self) -> comparisons.VersionComparison:
         return comparisons.VersionComparison(
             OLD,
             NEW,
@@ -566,7 +568,9 @@
 
     def _guard_all(self) -> None:
         for proxy, collector in enumerate(self.collectors):
-            verdict = self.guards[proxy].add(collector.take_window())
+            verdict = self.version_comparisons[proxy].add(
+                collector.take_window()
+            )
             if verdict is not None and not self.halted[proxy]:
                 self.halted[proxy] = True
                 collector.halted = True
--- a/libs/daemon/src/trefoil_daemon/__init__.py
+++ b/libs/daemon/src/trefoil_daemon/__init__.py
@@ -1,12 +1,12 @@
-"""The thin daemons of trefoilroute, on circuits."""
+"""The trefoilroute daemons, built on circuits."""
 
 import sys
 
-# circuits declares its namespace through pkg_resources where that is there,
-# which takes a quarter of a process's start, and does without where it is
-# not.
-_FOUND = sys.modules.get("pkg_resources")
-if _FOUND is None:
+# circuits declares its namespace package through pkg_resources if that can be
+# imported, and works without it. The import takes a quarter of a process's
+# start-up time, so it is blocked here.
+_LOADED_PKG_RESOURCES = sys.modules.get("pkg_resources")
+if _LOADED_PKG_RESOURCES is None:
     sys.modules["pkg_resources"] = None  # type: ignore[assignment]
     import circuits  # noqa: F401
 
--- a/libs/daemon/src/trefoil_daemon/_chunked.py
+++ b/libs/daemon/src/trefoil_daemon/_chunked.py
@@ -1,9 +1,9 @@
-"""Chunked bodies, decoded by h11."""
+"""Decoding of chunked bodies with h11."""
 
 from trefoil_model import errors
 
-# h11 follows whole messages. What is before the body was read already, so it
-# is shown the least head that announces a chunked body.
+# h11 parses complete messages, but the head was already read elsewhere, so it
+# gets a minimal head that declares a chunked body.
 REQUEST_HEAD = (
     b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
@@ -11,46 +11,46 @@
 
 
 class ChunkedBody:
-    """One chunked body.
+    """Decoder for one chunked body.
 
     Args:
-        of_request: Whether it belongs to a request, else to a response.
+        is_request: Whether the body belongs to a request or to a response.
     """
 
-    __slots__ = ("connection", "parts", "size", "rest")
+    __slots__ = ("connection", "parts", "size", "remainder")
 
-    def __init__(self, of_request: bool) -> None:
-        # Most processes never see a chunked body.
+    def __init__(self, is_request: bool) -> None:
+        # Imported lazily: most processes never receive a chunked body.
         import h11
 
         self.connection = h11.Connection(
-            our_role=h11.SERVER if of_request else h11.CLIENT
+            our_role=h11.SERVER if is_request else h11.CLIENT
         )
-        if not of_request:
+        if not is_request:
             self.connection.send(
                 h11.Request(method="GET", target="/", headers=[("Host", "a")])
             )
             self.connection.send(h11.EndOfMessage())
         self.connection.receive_data(
-            REQUEST_HEAD if of_request else RESPONSE_HEAD
+            REQUEST_HEAD if is_request else RESPONSE_HEAD
         )
         self.connection.next_event()
         self.parts: list[bytes] = []
         self.size = 0
-        self.rest = b""
+        self.remainder = b""
 
     @property
     def body(self) -> bytes:
-        """Return what has come of the body."""
+        """Return the part of the body decoded so far."""
         return b"".join(self.parts)
 
     def feed(self, data: bytes) -> bool:
-        """Take bytes; return whether the body is whole.
+        """Decode bytes; return whether the body is complete.
 
-        What follows the body is in ``rest`` then.
+        Bytes that follow a complete body are then in ``remainder``.
 
         Raises:
-            ProtocolError: The bytes are no chunked body.
+            ProtocolError: The bytes are not a valid chunked body.
         """
         import h11
 
@@ -66,5 +66,5 @@
             raise errors.ProtocolError(400, f"bad chunk: {error}")
         if not isinstance(event, h11.EndOfMessage):
             return False
-        self.rest = self.connection.trailing_data[0]
+        self.remainder = self.connection.trailing_data[0]
         return True
--- a/libs/daemon/src/trefoil_daemon/_http.py
+++ b/libs/daemon/src/trefoil_daemon/_http.py
@@ -1,10 +1,10 @@
-"""HTTP messages cut out of a byte stream with circuits.web's parser.
+"""Incremental HTTP/1 parsing and serialization, on circuits.web's parser.
 
-The parser checks a message's head. Header lines are passed on as they were
-sent, since the parser folds repeated headers into one and reads backslashes
-as escapes. Chunked bodies are decoded by h11: the parser takes a chunk that
-is cut before its line end for malformed, unpacks compressed bodies, and does
-not tell where a body ends.
+The parser validates a message's head. Header lines are forwarded as received,
+since the parser merges repeated headers and interprets backslashes as escapes.
+Chunked bodies are decoded by h11: the circuits.web parser rejects a chunk
+that is split before its line end, decompresses bodies, and does not report
+where a body ends.
 """
 
 import dataclasses
@@ -32,24 +32,24 @@
         b"expect",
     )
 )
-BODILESS = (204, 304)
+BODILESS_STATUSES = (204, 304)
 REQUEST = 0
 RESPONSE = 1
 
 
 @dataclasses.dataclass(slots=True)
 class Message:
-    """A whole HTTP message.
+    """A complete HTTP message.
 
     Args:
         method: Method of a request.
         path: Path and query of a request.
         status: Status of a response.
         reason: Reason phrase of a response.
-        headers: Header lines as sent, without the hop-by-hop ones.
-        body: Whole body, decoded where it was chunked.
-        keep_alive: Whether the connection stays open after it.
-        fields: The head's fields by lower-case name, last one wins.
+        headers: Header lines as received, without the hop-by-hop ones.
+        body: Complete body, decoded if it was chunked.
+        keep_alive: Whether the connection stays open after the message.
+        fields: Header fields by lower-case name; the last one wins.
     """
 
     method: str = ""
@@ -62,17 +62,20 @@
     fields: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
 
     def field(self, name: bytes) -> str:
-        """Return a field's value as text, empty if it is missing."""
+        """Return a header field as text, empty if it is missing."""
         return self.fields.get(name, b"").decode("latin-1")
 
 
 class MessageReader:
-    """Cuts one side of a connection into messages.
+    """Splits one direction of a connection into messages.
 
     Args:
         kind: ``REQUEST`` or ``RESPONSE``.
-        max_body: Largest body in bytes.
-        max_head: Largest head in bytes.
+        max_body: Maximum body size in bytes.
+        max_head: Maximum head size in bytes.
+
+    ``length`` is -1 for a chunked body and for one that ends with its
+    connection. Set ``bodiless`` before the response to a HEAD request.
     """
 
     __slots__ = (
@@ -99,7 +102,7 @@
         self.bodiless = False
 
     def feed(self, data: bytes) -> Message | None:
-        """Take bytes; return the next message once it is whole.
+        """Parse bytes; return the next message once it is complete.
 
         Raises:
             ProtocolError: The message is malformed or too large.
@@ -110,16 +113,16 @@
         return self._read_body()
 
     def next(self) -> Message | None:
-        """Return the next message if it has come already."""
+        """Return the next message if it is already buffered."""
         return self.feed(b"") if self.buffer else None
 
     @property
     def started(self) -> bool:
-        """Tell whether part of a message has come."""
+        """Return whether part of a message has been received."""
         return bool(self.buffer) or self.message is not None
 
-    def end(self) -> Message | None:
-        """Take the end of the stream; it ends a body without a length."""
+    def feed_eof(self) -> Message | None:
+        """Handle the end of the stream, which ends a body without a length."""
         message = self.message
         if message is not None and self.length < 0 and self.chunks is None:
             message.body = self.buffer
@@ -130,42 +133,42 @@
         return None
 
     def _read_head(self) -> bool:
-        end = self.buffer.find(HEAD_END)
-        if end < 0:
+        head_length = self.buffer.find(HEAD_END)
+        if head_length < 0:
             if len(self.buffer) > self.max_head:
                 raise errors.ProtocolError(431, "the head is too large")
             return False
-        if end > self.max_head:
+        if head_length > self.max_head:
             raise errors.ProtocolError(431, "the head is too large")
-        head = self.buffer[: end + len(HEAD_END)]
-        self.buffer = self.buffer[end + len(HEAD_END) :]
+        head = self.buffer[: head_length + len(HEAD_END)]
+        self.buffer = self.buffer[head_length + len(HEAD_END) :]
         self.message = self._parse_head(head)
         return True
 
     def _parse_head(self, head: bytes) -> Message:
         parser = parsers.HttpParser(self.kind)
-        # The parser reads backslash escapes in a head: a value with the two
-        # characters \n would come out as a line break, and so as a header
-        # that nobody sent. Doubled, they read back as they were.
-        safe = head.replace(b"\\", b"\\\\")
-        # The header lines are checked and passed on one by one below.
-        safe = safe[: safe.find(b"\r\n") + 2] + b"\r\n"
+        # The parser interprets backslash escapes: a value with the two
+        # characters \n would become a line break and inject a header.
+        # Doubled backslashes are parsed back to the original ones.
+        escaped = head.replace(b"\\", b"\\\\")
+        # Only the start line is parsed here, the header lines below.
+        escaped = escaped[: escaped.find(b"\r\n") + 2] + b"\r\n"
         try:
-            parser.execute(safe, len(safe))
+            parser.execute(escaped, len(escaped))
         except (ValueError, IndexError, TypeError) as error:
             raise errors.ProtocolError(400, f"bad head: {error}")
         if parser.errno is not None or not parser.is_headers_complete():
             raise errors.ProtocolError(400, parser.errstr or "bad head")
         message = Message()
-        self._take_first_line(message, parser)
-        self._take_lines(message, head)
-        options = connection_options(message)
-        late = parser.get_version() == (1, 1) or b"keep-alive" in options
-        message.keep_alive = late and b"close" not in options
-        self._take_length(message)
+        self._parse_start_line(message, parser)
+        self._parse_header_lines(message, head)
+        tokens = connection_tokens(message)
+        persistent = parser.get_version() == (1, 1) or b"keep-alive" in tokens
+        message.keep_alive = persistent and b"close" not in tokens
+        self._parse_length(message)
         return message
 
-    def _take_first_line(
+    def _parse_start_line(
         self, message: Message, parser: parsers.HttpParser
     ) -> None:
         if parser.get_version() not in ((1, 0), (1, 1)):
@@ -179,8 +182,8 @@
         message.status = parser.get_status_code()
         message.reason = (parser._status or "")[4:]
 
-    def _take_lines(self, message: Message, head: bytes) -> None:
-        kept = []
+    def _parse_header_lines(self, message: Message, head: bytes) -> None:
+        end_to_end = []
         for line in head.split(b"\r\n")[1:-2]:
             name, colon, value = line.partition(b":")
             lower = name.lower()
@@ -190,21 +193,23 @@
                 raise errors.ProtocolError(400, "two lengths")
             message.fields[lower] = value.strip()
             if lower not in HOP_BY_HOP:
-                kept.append((lower, line))
-        named = connection_options(message)
+                end_to_end.append((lower, line))
+        hop_by_hop = connection_tokens(message)
         message.headers = b"".join(
-            line + b"\r\n" for name, line in kept if name not in named
+            line + b"\r\n"
+            for name, line in end_to_end
+            if name not in hop_by_hop
         )
 
-    def _take_length(self, message: Message) -> None:
-        coding = message.fields.get(b"transfer-encoding")
+    def _parse_length(self, message: Message) -> None:
+        transfer_coding = message.fields.get(b"transfer-encoding")
         length = message.fields.get(b"content-length")
         self.chunks = None
         self.length = 0
-        if coding is not None:
-            # A message with both would be cut differently by the next
-            # server on its way, which lets a caller smuggle a request.
-            if length is not None or coding.lower() != b"chunked":
+        if transfer_coding is not None:
+            # With both lengths, the next server could find another end of
+            # the message, which allows request smuggling.
+            if length is not None or transfer_coding.lower() != b"chunked":
                 raise errors.ProtocolError(400, "unclear length")
             self.chunks = _chunked.ChunkedBody(self.kind == REQUEST)
             self.length = -1
@@ -212,16 +217,16 @@
             if not length.isdigit():
                 raise errors.ProtocolError(400, "bad length")
             self.length = int(length)
-        elif self.kind == RESPONSE and not self._without_body(message):
+        elif self.kind == RESPONSE and not self._has_no_body(message):
             self.length = -1
-        if self.kind == RESPONSE and self._without_body(message):
+        if self.kind == RESPONSE and self._has_no_body(message):
             self.length = 0
             self.chunks = None
         if self.length > self.max_body:
             raise errors.ProtocolError(413, "the body is too large")
 
-    def _without_body(self, message: Message) -> bool:
-        return self.bodiless or message.status in BODILESS
+    def _has_no_body(self, message: Message) -> bool:
+        return self.bodiless or message.status in BODILESS_STATUSES
 
     def _read_body(self) -> Message | None:
         message = self.message
@@ -238,32 +243,37 @@
 
     def _read_chunks(self, message: Message) -> Message | None:
         data, self.buffer = self.buffer, b""
-        whole = self.chunks.feed(data)
+        complete = self.chunks.feed(data)
         if self.chunks.size > self.max_body:
             raise errors.ProtocolError(413, "the body is too large")
-        if not whole:
+        if not complete:
             return None
         message.body = self.chunks.body
-        self.buffer = self.chunks.rest
+        self.buffer = self.chunks.remainder
         self.message = None
         return message
 
 
-def connection_options(message: Message) -> set[bytes]:
-    """Return the words of a message's Connection field."""
+def connection_tokens(message: Message) -> set[bytes]:
+    """Return the lower-case tokens of a message's Connection field."""
     field = message.fields.get(b"connection", b"")
-    return {word.strip().lower() for word in field.split(b",")}
+    return {token.strip().lower() for token in field.split(b",")}
 
 
 def request_bytes(
     method: str, path: str, headers: bytes, body: bytes, extra: bytes = b""
 ) -> bytes:
-    """Return a request for a kept-alive connection."""
-    length = b""
+    """Serialize a request for a persistent connection.
+
+    Args:
+        headers: Header lines, each with its line end.
+        extra: More header lines, after ``headers``.
+    """
+    length_line = b""
     if body or method in ("POST", "PUT", "PATCH"):
-        length = b"Content-Length: %d\r\n" % len(body)
-    first = f"{method} {path} HTTP/1.1\r\n".encode("latin-1", "replace")
-    return first + headers + extra + length + b"\r\n" + body
+        length_line = b"Content-Length: %d\r\n" % len(body)
+    start_line = f"{method} {path} HTTP/1.1\r\n".encode("latin-1", "replace")
+    return start_line + headers + extra + length_line + b"\r\n" + body
 
 
 def response_bytes(
@@ -275,16 +285,25 @@
     keep_alive: bool,
     bodiless: bool = False,
 ) -> bytes:
-    """Return a whole response.
+    """Serialize a response.
 
     Args:
-        bodiless: Whether it answers a HEAD request: the length is told, the
-            body left out.
+        headers: Header lines, each with its line end.
+        keep_alive: Whether the connection stays open after the response.
+        bodiless: Whether it answers a HEAD request: the length is stated but
+            the body is omitted.
     """
-    first = f"HTTP/1.1 {status} {reason}\r\n".encode("latin-1", "replace")
-    length = b"Content-Length: %d\r\n" % len(body)
-    if status in BODILESS:
-        length = b""
-    tail = b"" if keep_alive else b"Connection: close\r\n"
-    shown = b"" if bodiless or status in BODILESS else body
-    return first + headers + length + tail + b"\r\n" + shown
+    start_line = f"HTTP/1.1 {status} {reason}\r\n".encode("latin-1", "replace")
+    length_line = b"Content-Length: %d\r\n" % len(body)
+    if status in BODILESS_STATUSES:
+        length_line = b""
+    connection_line = b"" if keep_alive else b"Connection: close\r\n"
+    sent_body = b"" if bodiless or status in BODILESS_STATUSES else body
+    return (
+        start_line
+        + headers
+        + length_line
+        + connection_line
+        + b"\r\n"
+        + sent_body
+    )
--- a/libs/daemon/src/trefoil_daemon/_page.py
+++ b/libs/daemon/src/trefoil_daemon/_page.py
@@ -1,28 +1,28 @@
-"""A page that answers GET and nothing else."""
+"""Base class for pages that only answer GET."""
 
 from . import _http
 from . import http_server
 
 
 class Page:
-    """Takes HTTP requests; a subclass answers GET."""
+    """Rejects other methods than GET, which a subclass answers."""
 
     __slots__ = ()
 
-    def take(
+    def handle_request(
         self,
         connection: http_server.ServerConnection,
         message: _http.Message,
     ) -> None:
-        """Take a request."""
+        """Handle a request."""
         if message.method == "GET":
             self.get(connection)
         else:
-            connection.answer_own(405, "only GET")
+            connection.answer_text(405, "only GET")
 
     def get(self, connection: http_server.ServerConnection) -> None:
         """Answer a GET."""
         raise NotImplementedError
 
-    def gone(self, connection: http_server.ServerConnection) -> None:
-        """Nothing is owed to a sender that went away."""
+    def on_disconnect(self, connection: http_server.ServerConnection) -> None:
+        """Do nothing: no work is in progress for a closed connection."""
--- a/libs/daemon/src/trefoil_daemon/admin.py
+++ b/libs/daemon/src/trefoil_daemon/admin.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for targets and operators."""
+"""The HTTP admin interface for targets and operators."""
 
 import itertools
 import json
@@ -22,25 +22,25 @@
 
 
 class Process(typing.Protocol):
-    """What the interface needs of its process."""
+    """What the admin interface requires of its process."""
 
     def submit(
         self, command: messages.Command, reply: operators.OnReply
     ) -> None:
-        """Take an operator's command."""
+        """Submit an operator's command."""
 
     def ask(self, query: messages.Query, reply: operators.OnReply) -> None:
-        """Take an operator's query."""
+        """Run an operator's query."""
 
 
 class Admin:
-    """Answers targets' announcements and operators' lines.
+    """Handles announcements of targets and command lines of operators.
 
     Args:
         process: The process engine.
         clock: The runtime's clock.
-        metrics: The process's metrics, for local queries.
-        bytes_out: Control bytes sent by kind, for local queries.
+        metrics: The process's metrics, for queries answered locally.
+        bytes_out: Control bytes sent, by message kind, for the same queries.
         name: Name of the process.
     """
 
@@ -50,7 +50,7 @@
         "metrics",
         "bytes_out",
         "name",
-        "numbers",
+        "query_numbers",
     )
 
     def __init__(
@@ -66,21 +66,21 @@
         self.metrics = metrics
         self.bytes_out = bytes_out
         self.name = name
-        self.numbers = itertools.count(clock.wall_ms())
+        self.query_numbers = itertools.count(clock.wall_ms())
 
-    def take(
+    def handle_request(
         self,
         connection: http_server.ServerConnection,
         message: _http.Message,
     ) -> None:
-        """Take a request."""
+        """Handle a request."""
         try:
             self._route(connection, message)
         except errors.ProtocolError as error:
-            connection.answer_own(error.status, error.reason)
+            connection.answer_text(error.status, error.reason)
 
-    def gone(self, connection: http_server.ServerConnection) -> None:
-        """Nothing is owed to a sender that went away."""
+    def on_disconnect(self, connection: http_server.ServerConnection) -> None:
+        """Do nothing: a reply to a closed connection is discarded."""
 
     def _route(
         self,
@@ -118,12 +118,14 @@
             busy = self.process.targets.busy
             _answer_json(connection, 200, announced.describe(busy))
         elif message.method == "PUT" and name and "/" not in name:
-            made = announcements.parse(name, message.body)
-            self.process.announce(made)
+            announcement = announcements.parse(name, message.body)
+            self.process.announce(announcement)
             _answer_json(connection, 200, {"lease_ms": announced.lease_ms})
         elif message.method == "DELETE" and name:
-            found = self.process.target_leaves(name, "it said so")
-            _answer_json(connection, 200 if found else 404, {"left": found})
+            removed = self.process.drop_target(name, "deregistered")
+            _answer_json(
+                connection, 200 if removed else 404, {"left": removed}
+            )
         else:
             raise errors.ProtocolError(405, "PUT, DELETE or GET")
 
@@ -134,16 +136,16 @@
         connection: http_server.ServerConnection,
         message: _http.Message,
     ) -> None:
-        # The grammar takes a tenth of a second to load; a process that was
-        # killed should serve callers before.
+        # Loading the grammar takes a tenth of a second, which would delay
+        # serving callers after a restart.
         from trefoil_language import parser
 
-        line, envelope = _envelope_of(message.body)
+        line, envelope = _parse_command_body(message.body)
         parsed = parser.parse(line)
         if parsed.is_error():
             raise errors.ProtocolError(400, str(parsed.error))
         statement = parsed.ok
-        rows = self._local(statement)
+        rows = self._local_rows(statement)
         if rows is not None:
             _answer_json(connection, 200, _local_answer(rows, self.name))
             return
@@ -153,13 +155,13 @@
                 command, lambda reply: _answer_reply(connection, reply)
             )
             return
-        query_id = f"{self.name}-{next(self.numbers)}"
+        query_id = f"{self.name}-{next(self.query_numbers)}"
         self.process.ask(
             messages.Query(query_id, line, 0),
             lambda reply: _answer_query(connection, reply),
         )
 
-    def _local(
+    def _local_rows(
         self, statement: typing.Any
     ) -> list[dict[str, typing.Any]] | None:
         match statement:
@@ -173,15 +175,15 @@
         return None
 
 
-def _envelope_of(body: bytes) -> tuple[str, operators.Envelope]:
+def _parse_command_body(body: bytes) -> tuple[str, operators.Envelope]:
     try:
-        given = json.loads(body)
-        line = given["line"]
+        fields = json.loads(body)
+        line = fields["line"]
         envelope = operators.Envelope(
-            command_id=str(given.get("id", "")),
-            operator=str(given.get("operator", "")),
-            issued_ms=int(given.get("issued_ms", 0)),
-            document=str(given.get("document", "")),
+            command_id=str(fields.get("id", "")),
+            operator=str(fields.get("operator", "")),
+            issued_ms=int(fields.get("issued_ms", 0)),
+            document=str(fields.get("document", "")),
         )
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise errors.ProtocolError(400, f"not a command: {error!r}")
@@ -214,5 +216,5 @@
     connection: http_server.ServerConnection, reply: messages.QueryReply
 ) -> None:
     status = 200 if reply.ok else 400
-    kind = JSON_HEADER if reply.ok else b"Content-Type: text/plain\r\n"
-    connection.answer(status, "OK", kind, reply.body.encode() + b"\n")
+    content_type = JSON_HEADER if reply.ok else b"Content-Type: text/plain\r\n"
+    connection.answer(status, "OK", content_type, reply.body.encode() + b"\n")
--- a/libs/daemon/src/trefoil_daemon/budget_metrics.py
+++ b/libs/daemon/src/trefoil_daemon/budget_metrics.py
@@ -1,4 +1,4 @@
-"""The retry budgets of a proxy on its page of metrics."""
+"""Metrics of a proxy's retry budgets."""
 
 from trefoil_requests import budget
 
@@ -8,21 +8,21 @@
 def families(
     budgets: dict[str, budget.RetryBudget],
 ) -> list[exposition.Family]:
-    """Return what repeats each service got, and how many are left."""
+    """Return each service's repeats by cause and its remaining budget."""
     repeats = exposition.Family(
         "repeats",
         "Requests that targets may see more than once, by cause",
         ["service", "cause"],
-        counts=True,
+        is_counter=True,
     )
-    left = exposition.Family(
+    remaining = exposition.Family(
         "retry_budget",
         "Repeats that this proxy may still ask for",
         ["service"],
-        counts=False,
+        is_counter=False,
     )
-    for service, account in sorted(budgets.items()):
-        left.add(account.tokens, service=service)
-        for cause, count in account.spent.items():
+    for service, service_budget in sorted(budgets.items()):
+        remaining.add(service_budget.tokens, service=service)
+        for cause, count in service_budget.spent.items():
             repeats.add(count, service=service, cause=cause)
-    return [repeats, left]
+    return [repeats, remaining]
--- a/libs/daemon/src/trefoil_daemon/control.py
+++ b/libs/daemon/src/trefoil_daemon/control.py
@@ -37,7 +37,7 @@
                 "control.started",
                 {
                     "identity": self.engine.raft.identity,
-                    "admin": self.serve_operators(settings.admin, ADMIN_BODY),
+                    "admin": self.serve_admin(settings.admin, ADMIN_BODY),
                     "peers": port,
                     "revision": self.engine.state.items.revision,
                 },
@@ -80,5 +80,5 @@
     """Run a control process until it is told to end."""
     daemon = ControlDaemon(settings.host, settings.log_level, settings.statsd)
     daemon.start_control(settings)
-    daemon.settle()
+    daemon.tune_gc()
     daemon.run()
--- a/libs/daemon/src/trefoil_daemon/exposition.py
+++ b/libs/daemon/src/trefoil_daemon/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as text, for whatever collects them over HTTP."""
+"""Metrics over HTTP in the Prometheus text format."""
 
 import dataclasses
 import typing
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """One value of a family, with what tells it from the others."""
+    """One value of a family, identified by its labels."""
 
     labels: dict[str, str]
     value: float
@@ -22,45 +22,45 @@
 
 @dataclasses.dataclass(slots=True)
 class Family:
-    """Values of one name that differ by their labels.
+    """Metric samples with the same name and different labels.
 
     Args:
-        name: Its name, without the prefix.
-        text: What it tells.
-        labels: Names of the labels that each sample has.
-        counts: Whether its values only grow.
-        samples: The values.
+        name: Metric name, without the prefix.
+        description: Help text.
+        labels: Label names, the same for each sample.
+        is_counter: Whether the values only increase.
+        samples: The samples.
     """
 
     name: str
-    text: str
+    description: str
     labels: list[str]
-    counts: bool
+    is_counter: bool
     samples: list[Sample] = dataclasses.field(default_factory=list)
 
     def add(self, value: float, **labels: str) -> None:
-        """Add a value."""
+        """Add a sample."""
         self.samples.append(Sample(labels, value))
 
 
 class Engine(typing.Protocol):
-    """What the page asks a process for."""
+    """What the metrics page requires of its process."""
 
     def gauges(self) -> dict[str, float]:
-        """Return what is true now, by name."""
+        """Return the current gauge values, by name."""
 
     def families(self) -> list[Family]:
-        """Return the values that differ by labels."""
+        """Return the labelled metrics."""
 
 
 class Exposition(_page.Page):
-    """Answers GET by all counters, gauges and latencies of a process.
+    """Page with all counters, gauges and latencies of a process.
 
     Args:
         metrics: The process's metrics.
-        bytes_out: Bytes sent to peers, by kind of message.
-        far_bytes_out: The part of them that left the failure domain.
-        engine: Tells what is true now.
+        bytes_out: Bytes sent to peers, by message kind.
+        far_bytes_out: The part of them sent to other failure domains.
+        engine: Supplies the gauges and the labelled metrics.
     """
 
     __slots__ = ("metrics", "bytes_out", "far_bytes_out", "engine")
@@ -79,20 +79,20 @@
 
     def get(self, connection: http_server.ServerConnection) -> None:
         """Answer a GET."""
-        connection.answer(200, "OK", TEXT_HEADER, self.text())
+        connection.answer(200, "OK", TEXT_HEADER, self.render())
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return the metrics in the Prometheus text format."""
-        # Most processes are never asked; the library is loaded when one is.
+        # Imported lazily: most processes are never scraped.
         import prometheus_client
         from prometheus_client import registry
 
-        found = registry.CollectorRegistry()
-        found.register(typing.cast(registry.Collector, self))
-        return prometheus_client.generate_latest(found)
+        metric_registry = registry.CollectorRegistry()
+        metric_registry.register(typing.cast(registry.Collector, self))
+        return prometheus_client.generate_latest(metric_registry)
 
     def collect(self) -> typing.Iterator[typing.Any]:
-        """Return the metric families."""
+        """Yield the metric families, as prometheus_client collectors do."""
         from prometheus_client import core
 
         events = core.CounterMetricFamily(
@@ -122,32 +122,34 @@
             "Latency of answers by tenant and quantile",
             labels=["tenant", "quantile"],
         )
-        for tenant, found in sorted(self.metrics.histograms.items()):
+        for tenant, histogram in sorted(self.metrics.histograms.items()):
             for quantile in QUANTILES:
-                value_ms = found.get_value_at_percentile(quantile) / 1000
+                value_ms = histogram.get_value_at_percentile(quantile) / 1000
                 family.add_metric([tenant, f"{quantile / 100:g}"], value_ms)
-            family.add_metric([tenant, "count"], found.get_total_count())
+            family.add_metric([tenant, "count"], histogram.get_total_count())
         return family
 
 
 def _labelled(core: typing.Any, family: Family) -> typing.Any:
-    """Return a family as the library knows it."""
-    kind = core.GaugeMetricFamily
-    if family.counts:
-        kind = core.CounterMetricFamily
-    found = kind(f"{PREFIX}_{family.name}", family.text, labels=family.labels)
+    """Return a family as a prometheus_client metric family."""
+    family_class = core.GaugeMetricFamily
+    if family.is_counter:
+        family_class = core.CounterMetricFamily
+    converted = family_class(
+        f"{PREFIX}_{family.name}", family.description, labels=family.labels
+    )
     for sample in family.samples:
         values = [sample.labels[label] for label in family.labels]
-        found.add_metric(values, sample.value)
-    return found
+        converted.add_metric(values, sample.value)
+    return converted
 
 
 def _by_kind(
-    core: typing.Any, name: str, text: str, counted: dict[str, int]
+    core: typing.Any, name: str, description: str, counted: dict[str, int]
 ) -> typing.Any:
-    """Return a counter with a value for each kind of message."""
+    """Return a counter with a value for each message kind."""
     family = core.CounterMetricFamily(
-        f"{PREFIX}_{name}", text, labels=["kind"]
+        f"{PREFIX}_{name}", description, labels=["kind"]
     )
     for kind, value in sorted(counted.items()):
         family.add_metric([kind], value)
--- a/libs/daemon/src/trefoil_daemon/gateway.py
+++ b/libs/daemon/src/trefoil_daemon/gateway.py
@@ -1,4 +1,4 @@
-"""The callers' side of a proxy: HTTP in, calls out, answers back."""
+"""The caller side of a proxy: turns HTTP requests into calls."""
 
 import typing
 
@@ -8,30 +8,37 @@
 from . import dialect as dialects
 from . import http_server
 
-KEY_HEADER = b"idempotency-key"
-MAX_KEY = 256
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+MAX_KEY_CHARS = 256
 
 
 class Process(typing.Protocol):
-    """What the gateway needs of its process."""
+    """What the gateway requires of its process."""
 
     def call(self, call: calls.Call) -> None:
-        """Take a caller's request."""
+        """Start a caller's request."""
 
-    def caller_gone(self, call_id: int) -> None:
-        """Note a caller that went away."""
+    def caller_disconnected(self, call_id: int) -> None:
+        """Cancel the call of a caller that disconnected."""
 
 
 class Gateway:
-    """Hands callers' requests to the process and answers back.
+    """Passes callers' requests to the process and returns its answers.
 
     Args:
         process: The process engine.
-        dialect: The headers' names.
-        service: Service of this host's own target.
+        dialect: Header names.
+        service: Service of the target on this host, named to the called
+            targets as the caller; empty for none.
     """
 
-    __slots__ = ("process", "dialect", "service", "own", "waiting")
+    __slots__ = (
+        "process",
+        "dialect",
+        "service",
+        "reserved_headers",
+        "connections",
+    )
 
     def __init__(
         self,
@@ -48,22 +55,24 @@
             dialect.caller_service,
             dialect.target,
         )
-        self.own = frozenset(name.lower() for name in named if name)
-        self.waiting: dict[int, http_server.ServerConnection] = {}
+        self.reserved_headers = frozenset(
+            name.lower() for name in named if name
+        )
+        self.connections: dict[int, http_server.ServerConnection] = {}
 
-    def take(
+    def handle_request(
         self,
         connection: http_server.ServerConnection,
         message: _http.Message,
     ) -> None:
-        """Take a request."""
+        """Start a call for a request, or reject the request."""
         host = message.field(b"host")
         if not host:
-            connection.answer_own(400, "a Host header is needed")
+            connection.answer_text(400, "a Host header is needed")
             return
-        key = message.field(KEY_HEADER)
-        if len(key) > MAX_KEY:
-            connection.answer_own(400, "the idempotency key is too long")
+        key = message.field(IDEMPOTENCY_KEY_HEADER)
+        if len(key) > MAX_KEY_CHARS:
+            connection.answer_text(400, "the idempotency key is too long")
             return
         now_ms = connection.server.clock.now_ms()
         connection.request_id = message.field(self.dialect.request_id.lower())
@@ -78,38 +87,38 @@
             deadline_ms=_number(message.field(self.dialect.deadline.lower())),
             retried=message.field(self.dialect.retried.lower()) == "1",
             caller_id=connection.request_id,
-            entered_ms=connection.waited_ms(now_ms),
+            entered_ms=connection.elapsed_ms(now_ms),
         )
-        self.waiting[connection.number] = connection
+        self.connections[connection.number] = connection
         self.process.call(call)
 
     def _headers_of(self, message: _http.Message) -> bytes:
         """Return the header lines for the target.
 
-        Lines that the proxies set themselves are dropped: a caller could
-        else name itself as another service.
+        Headers that proxies set are removed first. Otherwise a caller could
+        claim to be another service.
         """
         headers = message.headers
-        if any(name in message.fields for name in self.own):
+        if any(name in message.fields for name in self.reserved_headers):
             lines = headers.split(b"\r\n")[:-1]
             headers = b"".join(
                 line + b"\r\n"
                 for line in lines
-                if line.partition(b":")[0].lower() not in self.own
+                if line.partition(b":")[0].lower() not in self.reserved_headers
             )
         if self.dialect.caller_service and self.service:
             service = self.service.encode("latin-1", "replace")
             headers += self.dialect.caller_service + b": " + service + b"\r\n"
         return headers
 
-    def gone(self, connection: http_server.ServerConnection) -> None:
-        """Note a caller that went away before its answer."""
-        if self.waiting.pop(connection.number, None) is not None:
-            self.process.caller_gone(connection.number)
+    def on_disconnect(self, connection: http_server.ServerConnection) -> None:
+        """Cancel the call of a caller that disconnected before its answer."""
+        if self.connections.pop(connection.number, None) is not None:
+            self.process.caller_disconnected(connection.number)
 
     def finish(self, final: calls.Final) -> None:
-        """Send a final answer."""
-        connection = self.waiting.pop(final.call_id, None)
+        """Send the final answer of a call."""
+        connection = self.connections.pop(final.call_id, None)
         if connection is None:
             return
         if not final.own:
@@ -126,7 +135,7 @@
             headers += b"X-Trefoil-Retry-After-Ms: %d\r\n" % (
                 final.retry_after_ms
             )
-        connection.answer_own(final.status, final.reason, headers)
+        connection.answer_text(final.status, final.reason, headers)
 
     def _seconds(self, wait_ms: int) -> bytes:
         if self.dialect.retry_fractions:
--- a/libs/daemon/src/trefoil_daemon/http_server.py
+++ b/libs/daemon/src/trefoil_daemon/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP connections taken from callers, targets and operators."""
+"""HTTP server for callers, targets and operators."""
 
 import dataclasses
 import itertools
@@ -12,43 +12,51 @@
 from . import transport as transports
 
 MAX_CONNECTIONS = 2000
-HEAD_MS = 10_000
-MAX_AHEAD_BYTES = 256 * 1024
+RECEIVE_TIMEOUT_MS = 10_000
+MAX_PIPELINED_BYTES = 256 * 1024
 
 
 @dataclasses.dataclass(slots=True)
-class SenderLimits:
-    """What senders may do; the configuration may change it at any time.
+class ConnectionLimits:
+    """Limits of a server's connections; may change at run time.
+
+    Size limits apply to connections accepted after a change, time limits to
+    all.
 
     Args:
-        max_head: Largest head in bytes.
-        max_body: Largest body in bytes.
-        head_ms: Longest time that a request may take to come whole.
-        idle_ms: How long a connection without a request is kept; 0 keeps it
-            for ever.
+        max_head: Maximum head size in bytes.
+        max_body: Maximum body size in bytes.
+        receive_timeout_ms: Maximum time from the first byte of a request to
+            its last one.
+        idle_ms: How long a connection without a request is kept open; 0 for
+            no limit.
     """
 
     max_head: int = _http.MAX_HEAD_BYTES
     max_body: int = 1024 * 1024
-    head_ms: int = HEAD_MS
+    receive_timeout_ms: int = RECEIVE_TIMEOUT_MS
     idle_ms: int = 0
 
 
 class Handler(typing.Protocol):
-    """What takes the requests of a server."""
+    """Handles the requests of a server."""
 
-    def take(
+    def handle_request(
         self, connection: "ServerConnection", message: _http.Message
     ) -> None:
-        """Take a request; answer it by ``connection.answer``."""
+        """Handle a request; reply with ``connection.answer``."""
 
-    def gone(self, connection: "ServerConnection") -> None:
-        """Note that the sender went away before its answer."""
+    def on_disconnect(self, connection: "ServerConnection") -> None:
+        """Handle a client that disconnected before its answer."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ServerConnection:
-    """One connection of a caller; it waits for one answer at a time."""
+    """One client connection, which handles one request at a time.
+
+    ``request`` is the request being handled. ``since_ms`` is when the current
+    request began to arrive, or the connection became idle or last sent data.
+    """
 
     server: "HttpServer"
     number: int
@@ -57,10 +65,10 @@
     request: _http.Message | None = None
     request_id: str = ""
     since_ms: int = 0
-    unsent_before: int = 0
+    last_unsent: int = 0
 
-    def waited_ms(self, now_ms: int) -> int:
-        """Return how long ago its present request began to come."""
+    def elapsed_ms(self, now_ms: int) -> int:
+        """Return the time since ``since_ms`` in ms."""
         return now_ms - self.since_ms
 
     def answer(
@@ -70,7 +78,7 @@
         headers: bytes = b"",
         body: bytes = b"",
     ) -> None:
-        """Send the answer to the request that waits."""
+        """Answer the current request; ignored if the client disconnected."""
         request = self.request
         if request is None or self.stream.closed:
             return
@@ -90,45 +98,46 @@
             self.stream.close_after_write()
             return
         self.stream.pause(False)
-        self.server.proceed(self)
+        self.server.read_next(self)
 
     def _is_last(self) -> bool:
-        """Tell whether this answer ends the connection (shutdown).
+        """Return whether this answer is the last one before a shutdown.
 
-        A request that came behind this one gets its answer first.
+        A pipelined request that was already received is answered first.
         """
         return self.server.closing and not self.reader.started
 
-    def note_sent(self, now_ms: int) -> None:
-        """Note how far its answer has been sent.
+    def track_progress(self, now_ms: int) -> None:
+        """Reset the idle time if more of an answer was sent.
 
-        An answer that is still being read is not idleness.
+        A client that still reads a long answer is not idle.
         """
         unsent = self.stream.unsent
-        if unsent != self.unsent_before:
-            self.unsent_before = unsent
+        if unsent != self.last_unsent:
+            self.last_unsent = unsent
             self.since_ms = now_ms
 
-    def answer_own(
+    def answer_text(
         self, status: int, reason: str, headers: bytes = b""
     ) -> None:
-        """Send an answer of this process, with its reason as the body."""
+        """Answer in plain text, with the reason as the body."""
         phrase = calls.STATUS_REASONS.get(status, "Error")
-        kind = b"Content-Type: text/plain; charset=utf-8\r\n"
+        content_type = b"Content-Type: text/plain; charset=utf-8\r\n"
         body = (reason + "\n").encode("utf-8", "replace")
-        self.answer(status, phrase, headers + kind, body)
+        self.answer(status, phrase, headers + content_type, body)
 
 
 class HttpServer:
-    """Takes HTTP requests at an address and hands them to a handler.
+    """Accepts HTTP connections and passes their requests to a handler.
 
     Args:
         transport: Carries the streams.
-        handler: Takes the requests.
+        handler: Handles the requests.
         clock: The runtime's clock.
-        limits: What senders may do.
-        bad: Called with the reason when a sender is malformed.
-        cut: Called with a connection that ends before its answer was sent.
+        limits: Limits of the connections.
+        malformed: Called with the reason when a request is malformed.
+        truncated: Called with a connection that closed before its answer was
+            sent in full.
     """
 
     __slots__ = (
@@ -136,8 +145,8 @@
         "handler",
         "clock",
         "limits",
-        "bad",
-        "cut",
+        "malformed",
+        "truncated",
         "connections",
         "numbers",
         "closing",
@@ -149,25 +158,25 @@
         handler: Handler,
         clock: clocks.Clock,
         *,
-        limits: SenderLimits,
-        bad: typing.Callable[[str], None],
-        cut: typing.Callable[[ServerConnection], None] | None = None,
+        limits: ConnectionLimits,
+        malformed: typing.Callable[[str], None],
+        truncated: typing.Callable[[ServerConnection], None] | None = None,
     ) -> None:
         self.transport = transport
         self.handler = handler
         self.clock = clock
         self.limits = limits
-        self.bad = bad
-        self.cut = cut
+        self.malformed = malformed
+        self.truncated = truncated
         self.connections: set[ServerConnection] = set()
         self.numbers = itertools.count(1)
         self.closing = False
 
     def listen(self, address: str) -> int:
-        """Take connections at an address; return the port."""
-        return self.transport.listen(address, self._accepted)
+        """Accept connections at an address; return the port."""
+        return self.transport.listen(address, self._on_accept)
 
-    def _accepted(self, stream: transports.Stream) -> None:
+    def _on_accept(self, stream: transports.Stream) -> None:
         if len(self.connections) >= MAX_CONNECTIONS:
             stream.close()
             return
@@ -181,25 +190,25 @@
             since_ms=self.clock.now_ms(),
         )
         stream.owner = connection
-        stream.on_data = self._data
-        stream.on_close = self._closed
+        stream.on_data = self._on_data
+        stream.on_close = self._on_close
         self.connections.add(connection)
 
-    def _data(self, stream: transports.Stream, data: bytes) -> None:
+    def _on_data(self, stream: transports.Stream, data: bytes) -> None:
         connection = stream.owner
         if not connection.reader.started:
             connection.since_ms = self.clock.now_ms()
         if connection.request is not None:
-            # The next request came before this one's answer. It waits in
-            # the buffer; a sender that goes on is held back by the kernel.
+            # A pipelined request is buffered until the current one is
+            # answered. Beyond the limit, TCP flow control stops the sender.
             connection.reader.buffer += data
-            if len(connection.reader.buffer) > MAX_AHEAD_BYTES:
+            if len(connection.reader.buffer) > MAX_PIPELINED_BYTES:
                 stream.pause(True)
             return
         self._feed(connection, data)
 
-    def proceed(self, connection: ServerConnection) -> None:
-        """Take the next request if it came already."""
+    def read_next(self, connection: ServerConnection) -> None:
+        """Start the next request if it is already buffered."""
         connection.since_ms = self.clock.now_ms()
         if connection.reader.buffer:
             self._feed(connection, b"")
@@ -208,70 +217,71 @@
         try:
             message = connection.reader.feed(data)
         except errors.ProtocolError as error:
-            self._malformed(connection, error)
+            self._reject_malformed(connection, error)
             return
         if message is None:
             return
         connection.request = message
-        self.handler.take(connection, message)
+        self.handler.handle_request(connection, message)
 
-    def _malformed(
+    def _reject_malformed(
         self, connection: ServerConnection, error: errors.ProtocolError
     ) -> None:
-        self.bad(error.reason)
+        self.malformed(error.reason)
         connection.request = _http.Message(keep_alive=False)
-        connection.answer_own(error.status, error.reason)
+        connection.answer_text(error.status, error.reason)
 
-    def _closed(self, stream: transports.Stream) -> None:
+    def _on_close(self, stream: transports.Stream) -> None:
         connection = stream.owner
         self.connections.discard(connection)
-        if stream.unsent and self.cut is not None:
-            self.cut(connection)
+        if stream.unsent and self.truncated is not None:
+            self.truncated(connection)
         if connection.request is not None:
-            self.handler.gone(connection)
+            self.handler.on_disconnect(connection)
 
     def tick(self) -> None:
-        """Close connections that are stuck in a request, or long unused.
+        """Close connections whose request arrives too slowly or that idle.
 
-        Senders that trickle a head would else hold connections for ever.
+        Clients that trickle a request would otherwise keep connections open
+        indefinitely.
         """
         now_ms = self.clock.now_ms()
         for connection in list(self.connections):
             if connection.request is not None:
                 continue
             if connection.reader.started and not connection.stream.closing:
-                self._end_trickling(connection, now_ms)
+                self._close_slow(connection, now_ms)
             else:
-                self._end_idle(connection, now_ms)
+                self._close_if_idle(connection, now_ms)
 
-    def _end_trickling(
-        self, connection: ServerConnection, now_ms: int
-    ) -> None:
-        if connection.waited_ms(now_ms) > self.limits.head_ms:
-            self._malformed(
+    def _close_slow(self, connection: ServerConnection, now_ms: int) -> None:
+        if connection.elapsed_ms(now_ms) > self.limits.receive_timeout_ms:
+            self._reject_malformed(
                 connection,
                 errors.ProtocolError(408, "the request is not whole"),
             )
 
-    def _end_idle(self, connection: ServerConnection, now_ms: int) -> None:
-        connection.note_sent(now_ms)
+    def _close_if_idle(
+        self, connection: ServerConnection, now_ms: int
+    ) -> None:
+        connection.track_progress(now_ms)
         idle_ms = self.limits.idle_ms
-        if idle_ms and connection.waited_ms(now_ms) > idle_ms:
+        if idle_ms and connection.elapsed_ms(now_ms) > idle_ms:
             connection.stream.close()
 
-    def close_politely(self) -> None:
-        """Let each connection end with its next answer (shutdown)."""
+    def close_after_answers(self) -> None:
+        """Close each connection after its next answer (shutdown)."""
         self.closing = True
 
     def close_idle(self, idle_since_ms: int) -> None:
-        """Close the connections that wait for no answer (shutdown).
+        """Close the connections without a request (shutdown).
 
-        One whose answer is still being sent ends behind it, and one on which
-        a request is still coming ends with that request's answer.
+        A connection closes only when its last answer has been sent; one that
+        is receiving a request closes after that request's answer.
 
         Args:
-            idle_since_ms: Connections that were opened later are left: their
-                first request is on its way and would be cut.
+            idle_since_ms: Connections opened after this time stay open, since
+                their first request may be in flight and would be lost.
         """
         self.closing = True
         for connection in list(self.connections):
@@ -279,12 +289,13 @@
             if idle and connection.since_ms <= idle_since_ms:
                 connection.stream.close_after_write()
 
-    def owes(self, began_by_ms: int) -> bool:
-        """Tell whether a caller has still something to get (shutdown).
+    def has_open_transfers(self, began_by_ms: int) -> bool:
+        """Return whether requests or answers are in transfer (shutdown).
 
         Args:
-            began_by_ms: Requests of which no byte came by then are not
-                waited for; others come without end.
+            began_by_ms: Requests that began to arrive after this time are not
+                counted, otherwise a steady load would delay the shutdown
+                indefinitely.
         """
         return any(
             connection.stream.unsent
--- a/libs/daemon/src/trefoil_daemon/main.py
+++ b/libs/daemon/src/trefoil_daemon/main.py
@@ -1,4 +1,4 @@
-"""Command lines of the two daemons."""
+"""Command-line interfaces of the two daemons."""
 
 import sys
 import typing
@@ -10,15 +10,19 @@
 from . import control
 from . import proxy
 
-WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 def load(path: str, kind: str) -> typing.Any:
-    """Return checked settings, or print every finding and end."""
+    """Return validated settings.
+
+    Raises:
+        SystemExit: The settings are invalid; every problem was printed.
+    """
     checked = setting_store.load(path, kind)
     if checked.is_error():
         print(checked.error, file=sys.stderr)
-        raise SystemExit(WRONG_SETTINGS)
+        raise SystemExit(EXIT_INVALID_SETTINGS)
     return checked.ok
 
 
--- a/libs/daemon/src/trefoil_daemon/metrics.py
+++ b/libs/daemon/src/trefoil_daemon/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics: counters to statsd, a latency histogram for each tenant."""
+"""Counters, sent to statsd, and a latency histogram for each tenant."""
 
 from hdrh import histogram
 import statsd
 
 LOWEST_US = 1
 HIGHEST_US = 60_000_000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -13,8 +13,8 @@
     """The metrics of one process.
 
     Args:
-        process: Name of the process, the prefix of its metrics.
-        address: Address of a statsd server; empty for none.
+        process: Name of the process, used as prefix of the metric names.
+        address: Address of a statsd server; empty to disable sending.
     """
 
     __slots__ = ("client", "counters", "totals", "histograms")
@@ -31,38 +31,40 @@
         self.histograms: dict[str, histogram.HdrHistogram] = {}
 
     def count(self, name: str, value: int = 1) -> None:
-        """Add to a counter; sent by ``flush``."""
+        """Add to a counter, which the next ``flush`` sends."""
         self.counters[name] = self.counters.get(name, 0) + value
         self.totals[name] = self.totals.get(name, 0) + value
 
     def latency(self, tenant: str, latency_us: int) -> None:
-        """Record a call's latency."""
-        found = self.histograms.get(tenant)
-        if found is None:
-            found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-            self.histograms[tenant] = found
-        found.record_value(min(max(latency_us, LOWEST_US), HIGHEST_US))
+        """Record a call's latency, clamped to the histogram's range."""
+        latencies = self.histograms.get(tenant)
+        if latencies is None:
+            latencies = histogram.HdrHistogram(
+                LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
+            )
+            self.histograms[tenant] = latencies
+        latencies.record_value(min(max(latency_us, LOWEST_US), HIGHEST_US))
 
     def flush(self) -> None:
-        """Send the counters and start them over."""
+        """Send and reset the counters; send each tenant's 99th percentile."""
         if self.client is not None:
             for name, value in self.counters.items():
                 self.client.incr(name, value)
-            for tenant, found in self.histograms.items():
-                p99_ms = found.get_value_at_percentile(99.0) / 1000
+            for tenant, latencies in self.histograms.items():
+                p99_ms = latencies.get_value_at_percentile(99.0) / 1000
                 self.client.gauge(f"latency_p99_ms.{tenant}", p99_ms)
         self.counters = {}
 
     def quantiles(self) -> list[dict[str, object]]:
-        """Return each tenant's quantiles for people."""
+        """Return each tenant's call count and latency quantiles as rows."""
         rows = []
-        for tenant, found in sorted(self.histograms.items()):
+        for tenant, latencies in sorted(self.histograms.items()):
             row: dict[str, object] = {
                 "tenant": tenant,
-                "calls": found.get_total_count(),
+                "calls": latencies.get_total_count(),
             }
             for quantile in QUANTILES:
-                value_us = found.get_value_at_percentile(quantile)
+                value_us = latencies.get_value_at_percentile(quantile)
                 row[f"p{quantile:g}_ms"] = value_us / 1000
             rows.append(row)
         return rows
--- a/libs/daemon/src/trefoil_daemon/pools.py
+++ b/libs/daemon/src/trefoil_daemon/pools.py
@@ -1,4 +1,4 @@
-"""Connections to the targets of this host, and requests on them."""
+"""Connection pools for the targets of this host."""
 
 import dataclasses
 import typing
@@ -13,47 +13,51 @@
 from . import dialect as dialects
 from . import transport as transports
 
-IDLE_MS = 5000
-# A target closes a connection at the end of the time that it states; a
-# request that is on its way then is lost. One beat and a slow loop fit in.
+DEFAULT_IDLE_MS = 5000
+# A target closes a connection when its stated keep-alive time ends, and a
+# request in flight at that moment is lost. The margin covers one tick and a
+# slow event loop.
 KEEP_ALIVE_MARGIN_MS = 1000
 
 
 class Owner(typing.Protocol):
-    """What the pools tell their process."""
+    """What the pools report to their process."""
 
     def target_answered(self, answer: messages.Answer) -> None:
-        """Take a target's whole answer."""
+        """Handle a target's complete answer."""
 
     def target_unsent(self, request_id: int) -> None:
-        """Note a request of which no byte was sent."""
+        """Handle a request of which no byte was sent."""
 
-    def target_broke(self, request_id: int) -> None:
-        """Note a connection that broke under a request."""
+    def target_disconnected(self, request_id: int) -> None:
+        """Handle a connection that broke during a request."""
 
     def target_checked(self, target: str, accepts: bool) -> None:
-        """Take whether a target takes connections."""
+        """Handle the result of a connection check."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class TargetConnection:
-    """One connection to a target; it carries one request at a time."""
+    """One connection to a target, which carries one request at a time.
+
+    ``unsent_request`` is the request to send once the connection is open.
+    """
 
     stream: transports.Stream
     port: int
     reader: _http.MessageReader
     request: messages.Request | None = None
-    waiting: bytes = b""
+    unsent_request: bytes = b""
     idle_until_ms: int = 0
     started_ms: int = 0
 
 
-class WatchKey(typing.NamedTuple):
-    """What a silence watch is kept for.
+class DetectorKey(typing.NamedTuple):
+    """Key of a silent-connection detector: one for each port and route.
 
-    Beside requests that take a tenth of its time, one that its target is at
-    work on looks like one whose connection went silent; those of its own
-    route tell how long it may take.
+    Compared with requests that take a tenth of its time, a request that is
+    still running looks like one on a silent connection. Only requests of the
+    same route show how long it may take.
     """
 
     port: int
@@ -65,11 +69,11 @@
 
     Args:
         transport: Carries the streams.
-        owner: The process.
+        owner: Receives the results; the process engine.
         clock: The runtime's clock.
-        ip: Address of this host, where its targets take requests.
-        max_body: Largest body of an answer, in bytes.
-        dialect: The headers' names.
+        ip: Address of this host, at which its targets listen.
+        max_body: Maximum body size of an answer, in bytes.
+        dialect: Header names.
     """
 
     __slots__ = (
@@ -81,7 +85,7 @@
         "max_body",
         "idle",
         "busy",
-        "watches",
+        "detectors",
     )
 
     def __init__(
@@ -102,8 +106,8 @@
         self.max_body = max_body
         self.idle: dict[int, list[TargetConnection]] = {}
         self.busy: dict[int, TargetConnection] = {}
-        self.watches: dict[
-            WatchKey, silent_connections.SilentConnectionDetector
+        self.detectors: dict[
+            DetectorKey, silent_connections.SilentConnectionDetector
         ] = {}
 
     def dispatch(self, effect: effects.Dispatch) -> None:
@@ -124,46 +128,48 @@
             request.body or b"",
             extra,
         )
-        connection = self._take(effect.port, now_ms)
+        connection = self._acquire(effect.port, now_ms)
         connection.request = request
         connection.started_ms = now_ms
         connection.reader.bodiless = request.method == "HEAD"
         self.busy[request.request_id] = connection
-        self._watch(effect.port, request).sent_at(request.request_id, now_ms)
+        self._detector(effect.port, request).sent_at(
+            request.request_id, now_ms
+        )
         if connection.stream.connecting:
-            connection.waiting = data
+            connection.unsent_request = data
         else:
             connection.stream.write(data)
 
     def abort(self, request_id: int) -> None:
-        """Close the connection under a request; the target sees it."""
+        """Abort a request by closing its connection to the target."""
         connection = self.busy.pop(request_id, None)
         if connection is not None:
             request = connection.request
-            self._watch(connection.port, request).dropped(request_id)
+            self._detector(connection.port, request).dropped(request_id)
             connection.request = None
             connection.stream.close()
 
     def tick(self) -> None:
-        """Close stale idle connections and those that went silent."""
+        """Close expired idle connections and silent ones."""
         now_ms = self.clock.now_ms()
         for connections in self.idle.values():
             for connection in list(connections):
                 if now_ms > connection.idle_until_ms:
-                    # A connection that idles long may have been forgotten
-                    # by what stands between; a fresh one costs 1 ms.
+                    # A device on the path may drop its state of a
+                    # connection that idles long; a new one costs 1 ms.
                     connection.stream.close()
-        for watch in self.watches.values():
-            for request_id in watch.silent(now_ms):
-                self._silent(request_id, watch)
+        for detector in self.detectors.values():
+            for request_id in detector.silent(now_ms):
+                self._close_silent(request_id, detector)
 
-    def _silent(
+    def _close_silent(
         self,
         request_id: int,
-        watch: silent_connections.SilentConnectionDetector,
+        detector: silent_connections.SilentConnectionDetector,
     ) -> None:
         connection = self.busy.pop(request_id, None)
-        watch.dropped(request_id)
+        detector.dropped(request_id)
         if connection is None:
             return
         connection.request = None
@@ -179,93 +185,98 @@
         )
 
     def check(self, target: str, port: int) -> None:
-        """Connect once and tell whether the target takes connections."""
+        """Connect once; report whether the target accepts connections."""
         stream = self.transport.connect(
             f"{self.ip}:{port}", lambda stream: stream.close()
         )
 
-        def told(stream: transports.Stream) -> None:
+        def on_closed(stream: transports.Stream) -> None:
             self.owner.target_checked(target, not stream.connecting)
 
-        stream.on_close = told
+        stream.on_close = on_closed
 
-    def _watch(
+    def _detector(
         self, port: int, request: messages.Request
     ) -> silent_connections.SilentConnectionDetector:
-        key = WatchKey(port, request.route or "")
-        watch = self.watches.get(key)
-        if watch is None:
-            watch = self.watches[key] = (
+        key = DetectorKey(port, request.route or "")
+        detector = self.detectors.get(key)
+        if detector is None:
+            detector = self.detectors[key] = (
                 silent_connections.SilentConnectionDetector()
             )
-        return watch
+        return detector
 
-    def _take(self, port: int, now_ms: int) -> TargetConnection:
+    def _acquire(self, port: int, now_ms: int) -> TargetConnection:
         connections = self.idle.get(port)
         while connections:
             connection = connections.pop()
             if not connection.stream.closed:
                 return connection
-        stream = self.transport.connect(f"{self.ip}:{port}", self._opened)
+        stream = self.transport.connect(f"{self.ip}:{port}", self._on_open)
         connection = TargetConnection(
             stream,
             port,
             _http.MessageReader(_http.RESPONSE, self.max_body),
         )
         stream.owner = connection
-        stream.on_data = self._data
-        stream.on_close = self._closed
+        stream.on_data = self._on_data
+        stream.on_close = self._on_close
         return connection
 
-    def _opened(self, stream: transports.Stream) -> None:
+    def _on_open(self, stream: transports.Stream) -> None:
         connection = stream.owner
-        waiting, connection.waiting = connection.waiting, b""
-        if waiting:
-            stream.write(waiting)
+        unsent_request, connection.unsent_request = (
+            connection.unsent_request,
+            b"",
+        )
+        if unsent_request:
+            stream.write(unsent_request)
 
-    def _data(self, stream: transports.Stream, data: bytes) -> None:
+    def _on_data(self, stream: transports.Stream, data: bytes) -> None:
         connection = stream.owner
         if connection.request is None:
-            # Nothing was asked, so these bytes answer nothing; given to the
-            # next request they would be another caller's answer.
+            # No request is in flight. Kept, these bytes would be taken for
+            # the answer to the next request, of another caller.
             stream.close()
             return
         try:
             message = connection.reader.feed(data)
-            while message is not None and not self._answers(
+            while message is not None and not self._is_expected_answer(
                 connection, message
             ):
                 message = connection.reader.next()
         except errors.ProtocolError as error:
-            self._bad_answer(connection, error)
+            self._on_malformed_answer(connection, error)
             return
         if message is not None:
-            self._answered(connection, message)
+            self._on_answer(connection, message)
 
-    def _answers(
+    def _is_expected_answer(
         self, connection: TargetConnection, message: _http.Message
     ) -> bool:
-        """Tell whether a message is the answer to the request that waits.
+        """Return whether a message answers the request in flight.
 
-        A target may send an answer twice, or late: it then stands where
-        the next one is expected, and would be given to another caller.
+        A duplicate or late answer arrives where the answer to the next
+        request is expected, and would reach the wrong caller.
         """
         if message.status < 200:
             return False
-        wanted = connection.request.caller_id
-        if not wanted or not self.dialect.request_id:
+        expected_id = connection.request.caller_id
+        if not expected_id or not self.dialect.request_id:
             return True
         name = self.dialect.request_id.lower()
-        given = message.fields.get(name)
-        return given is None or given == wanted.encode("latin-1", "replace")
+        answer_id = message.fields.get(name)
+        return answer_id is None or answer_id == expected_id.encode(
+            "latin-1", "replace"
+        )
 
-    def _bad_answer(
+    def _on_malformed_answer(
         self, connection: TargetConnection, error: errors.ProtocolError
     ) -> None:
         request = connection.request
         connection.request = None
         self.busy.pop(request.request_id, None)
-        self._watch(connection.port, request).dropped(request.request_id)
+        self._detector(connection.port, request).dropped(request.request_id)
         connection.stream.close()
         self.owner.target_answered(
             messages.Answer(
@@ -277,15 +288,15 @@
             )
         )
 
-    def _answered(
+    def _on_answer(
         self, connection: TargetConnection, message: _http.Message
     ) -> None:
         request = connection.request
         now_ms = self.clock.now_ms()
         connection.request = None
         self.busy.pop(request.request_id, None)
-        watch = self._watch(connection.port, request)
-        watch.answered(request.request_id, now_ms)
+        detector = self._detector(connection.port, request)
+        detector.answered(request.request_id, now_ms)
         clean = not connection.reader.started
         if message.keep_alive and clean and not connection.stream.closed:
             connection.idle_until_ms = now_ms + _idle_ms(message)
@@ -304,7 +315,7 @@
             )
         )
 
-    def _closed(self, stream: transports.Stream) -> None:
+    def _on_close(self, stream: transports.Stream) -> None:
         connection = stream.owner
         idle = self.idle.get(connection.port, [])
         if connection in idle:
@@ -312,24 +323,26 @@
         request = connection.request
         if request is None:
             return
-        # A reset may have swallowed the rest of a body without a length.
-        message = connection.reader.end() if stream.ended else None
-        if message is not None and self._answers(connection, message):
-            self._answered(connection, message)
+        # After a reset, the rest of a body without a length may be lost.
+        message = connection.reader.feed_eof() if stream.eof_received else None
+        if message is not None and self._is_expected_answer(
+            connection, message
+        ):
+            self._on_answer(connection, message)
             return
         connection.request = None
         self.busy.pop(request.request_id, None)
-        self._watch(connection.port, request).dropped(request.request_id)
-        if connection.waiting or stream.connecting:
+        self._detector(connection.port, request).dropped(request.request_id)
+        if connection.unsent_request or stream.connecting:
             self.owner.target_unsent(request.request_id)
         else:
-            self.owner.target_broke(request.request_id)
+            self.owner.target_disconnected(request.request_id)
 
 
 def _idle_ms(message: _http.Message) -> int:
-    """Return how long a connection may idle after an answer."""
+    """Return how long a connection may idle after an answer, in ms."""
     for part in message.field(b"keep-alive").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
             return max(int(value) * 1000 - KEEP_ALIVE_MARGIN_MS, 0)
-    return IDLE_MS
+    return DEFAULT_IDLE_MS
--- a/libs/daemon/src/trefoil_daemon/proxy.py
+++ b/libs/daemon/src/trefoil_daemon/proxy.py
@@ -19,16 +19,16 @@
 from . import runtime
 
 MIB = 1024 * 1024
-ADMIN_BODY = MIB
+MAX_ADMIN_BODY_BYTES = MIB
 
 
 class ProxyDaemon(runtime.Runtime):
-    """The proxy's runtime."""
+    """The proxy's runtime: its listeners, connections and engine."""
 
     dialect = dialects.DEFAULT
 
     def start_proxy(self, settings: setting_store.ProxySettings) -> None:
-        """Open the ports and build the engine."""
+        """Build the engine and open the ports."""
         self.settings = settings
         clock = self.system_clock
         max_body = settings.max_body_mib * MIB
@@ -63,9 +63,9 @@
             self.transport,
             self.gateway,
             clock,
-            limits=http_server.SenderLimits(max_body=max_body),
-            bad=self.bad_http,
-            cut=self.answer_cut,
+            limits=http_server.ConnectionLimits(max_body=max_body),
+            malformed=self.log_malformed_http,
+            truncated=self.log_truncated_answer,
         )
         self.http_servers = [self.callers]
         self.serve_metrics(settings.metrics)
@@ -78,7 +78,9 @@
                     "host": settings.host,
                     "domain": settings.domain,
                     "callers": self.callers.listen(settings.callers),
-                    "admin": self.serve_operators(settings.admin, ADMIN_BODY),
+                    "admin": self.serve_admin(
+                        settings.admin, MAX_ADMIN_BODY_BYTES
+                    ),
                     "peers": port,
                     "incarnation": self.engine.node.members.record.incarnation,
                     "retry_ratio": settings.retry_ratio,
@@ -92,28 +94,34 @@
             self.transport,
             readiness.Readiness(self.engine),
             self.system_clock,
-            limits=http_server.SenderLimits(max_body=0),
-            bad=self.bad_http,
+            limits=http_server.ConnectionLimits(max_body=0),
+            malformed=self.log_malformed_http,
         )
         self.http_servers.append(server)
         server.listen(address)
 
     def reconfigure(self, settings: typing.Any) -> None:
-        """Take changed settings; the ports stay as they are."""
+        """Apply changed settings; the ports stay the same."""
         self.settings = settings
         self.engine.reconfigure(settings)
         self.gateway.service = settings.service
 
     def limit_callers(self, limits: messages.CallerLimits) -> None:
-        """Take the configuration's limits for callers."""
-        kept = self.callers.limits
-        kept.max_head = limits.max_head_bytes or kept.max_head
-        kept.max_body = limits.max_body_bytes or kept.max_body
-        kept.head_ms = limits.head_timeout_ms or kept.head_ms
-        kept.idle_ms = limits.idle_timeout_ms or kept.idle_ms
-
-    def after_beat(self) -> None:
-        """Watch target connections; end a shutdown that is through."""
+        """Apply the configuration's caller limits; 0 keeps the old one."""
+        current = self.callers.limits
+        current.max_head = limits.max_head_bytes or current.max_head
+        current.max_body = limits.max_body_bytes or current.max_body
+        current.receive_timeout_ms = (
+            limits.head_timeout_ms or current.receive_timeout_ms
+        )
+        current.idle_ms = limits.idle_timeout_ms or current.idle_ms
+
+    def after_tick(self) -> None:
+        """Check target connections; exit once a shutdown is complete.
+
+        Raises:
+            SystemExit: The shutdown is complete.
+        """
         self.pools.tick()
         since_ms = self.engine.leaving_since_ms
         if not since_ms:
@@ -123,8 +131,11 @@
         if waited_ms >= self.settings.linger_ms:
             self.engine.refuse_calls()
             self.callers.close_idle(refusing_since_ms)
-        sending = self.callers.owes(refusing_since_ms) or self.hub.owes()
-        if self.engine.may_end(sending):
+        sending = (
+            self.callers.has_open_transfers(refusing_since_ms)
+            or self.hub.owes()
+        )
+        if self.engine.may_exit(sending):
             self.note(
                 common.Note(
                     "proxy.left",
@@ -136,31 +147,33 @@
             )
             raise SystemExit(0)
 
-    def answer_cut(self, connection: http_server.ServerConnection) -> None:
-        """Log an answer that its caller did not get whole."""
+    def log_truncated_answer(
+        self, connection: http_server.ServerConnection
+    ) -> None:
+        """Log an answer that its caller did not receive in full."""
         self.note(
             common.Note(
                 "answer.cut",
                 {
                     "id": connection.request_id,
                     "unsent": connection.stream.unsent,
-                    "caller_left": connection.stream.ended,
+                    "caller_left": connection.stream.eof_received,
                 },
                 "warning",
             )
         )
 
     def leave(self) -> None:
-        """Begin a graceful shutdown.
+        """Start a graceful shutdown.
 
-        Callers go on sending until they have heard of it, so requests are
-        still taken for a while; each answer closes its connection.
+        Callers continue to send until they learn of it, so requests are still
+        accepted for a while. Each answer closes its connection.
         """
         self.engine.leave()
-        self.callers.close_politely()
+        self.callers.close_after_answers()
 
     def finish(self, final: calls.Final) -> None:
-        """Give a caller its final answer."""
+        """Send a caller its final answer."""
         kind = "own" if final.own else "target"
         self.metrics.count(f"answers.{kind}.{final.status}")
         self.gateway.finish(final)
@@ -170,23 +183,23 @@
         self.pools.dispatch(effect)
 
     def abort(self, request_id: int) -> None:
-        """Stop waiting for a local target."""
+        """Abort a request on a local target."""
         self.pools.abort(request_id)
 
     def check_target(self, effect: request_effects.CheckTarget) -> None:
-        """Find out whether a local target takes connections."""
+        """Check whether a local target accepts connections."""
         self.pools.check(effect.target, effect.port)
 
     def check_warmup(
         self, effect: request_effects.CheckWarmup, path: str
     ) -> None:
-        """Ask a local target how much longer it is cold."""
+        """Ask a local target for its remaining warm-up time."""
         self.health.ask(effect.target, effect.port, path)
 
 
 def run(settings: setting_store.ProxySettings) -> None:
-    """Run a proxy until it is told to leave."""
+    """Run a proxy until it is stopped by a signal."""
     daemon = ProxyDaemon(settings.host, settings.log_level, settings.statsd)
     daemon.start_proxy(settings)
-    daemon.settle()
+    daemon.tune_gc()
     daemon.run()
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -1,4 +1,4 @@
-"""The engine of ``trefoilroute-proxy``: its cores joined, without sockets."""
+"""The engine of ``trefoilroute-proxy``, which does no input or output."""
 
 import functools
 import random
@@ -35,32 +35,35 @@
 from . import relay as relays
 from . import slot_metrics
 
-GUARD_MS = 1000
-# A pace that is told goes to every proxy of the fleet.
-TELL_PACE_MS = 1000
-GUARD_WINDOWS = 600
-GUARD_FLEET = 860
-COLD_MS = 5000
-# Before a leaving proxy refuses requests, others must have heard that its
-# targets are gone, and what they sent before that must have run.
-HAND_OVER_MS = 1200
-# What other proxies sent before they heard of a shutdown arrives in this.
-LEAST_LEAVE_MS = 1500
-# A process that is killed can't tell its callers how their requests ended.
-END_MARGIN_MS = 500
+HALT_CHECK_INTERVAL_MS = 1000
+# Each reported processing time is sent to every proxy of the fleet.
+PROCESSING_TIME_INTERVAL_MS = 1000
+# The accepted false-alarm probability of a move is divided among this many
+# checks on each of this many proxies.
+HALT_CHECK_WINDOWS = 600
+HALT_CHECK_PROXIES = 860
+LEAVING_RETRY_MS = 5000
+# Before a leaving proxy refuses requests, other proxies must have learned that
+# its targets are gone, and the requests they sent before must have run.
+WITHDRAW_BEFORE_END_MS = 1200
+# Time in which requests arrive that other proxies sent before they learned of
+# the shutdown.
+MIN_SHUTDOWN_MS = 1500
+# A killed process cannot tell its callers how their requests ended.
+SHUTDOWN_MARGIN_MS = 500
 
 
 class ProxyProcess(_fleet_process.FleetProcess):
-    """One proxy.
+    """The engine of one proxy.
 
     Args:
-        settings: Its settings.
-        peers_address: Address where other processes reach it.
-        carrier: Carries its effects.
+        settings: Settings of the proxy.
+        peers_address: Address at which other processes reach it.
+        carrier: Carries out the effects.
         clock: The runtime's clock.
-        rng: Its random generator.
-        not_run_header: Header by which a target says that it did not run a
-            request.
+        rng: Random generator.
+        not_run_header: Response header by which a target states that it did
+            not run a request.
     """
 
     def __init__(
@@ -113,15 +116,15 @@
         self.entry.accounting.max_ratio = settings.retry_ratio
         self.announced = announcements.Announcements(settings.lease_ms)
         self.collectors: dict[str, evidences.Collector] = {}
-        self.guards: dict[str, comparisons.VersionComparison] = {}
-        self.guard_at_ms = 0
-        self.pace_at_ms = 0
+        self.version_comparisons: dict[str, comparisons.VersionComparison] = {}
+        self.next_halt_check_ms = 0
+        self.processing_times_due_ms = 0
         self.route_service: dict[str, str] = {}
         self.leaving_since_ms = 0
-        self.handed_over = False
-        self.busy_origins: dict[str, set[int]] = {}
+        self.targets_withdrawn = False
+        self.requests_by_origin: dict[str, set[int]] = {}
         self.records_dirty = False
-        self.spending = spendings.SpendingLog()
+        self.spending_log = spendings.SpendingLog()
         self.relay = relays.Relay(settings.known_controls, carrier.tell)
 
     # Carrying out effects
@@ -131,13 +134,13 @@
         carry(effect, self)
 
     def now_us(self) -> int:
-        """Return the time in microseconds."""
+        """Return the clock's time in microseconds."""
         return self.clock.now_us()
 
     # Configuration and fleet
 
     def put_in_force(self, items: item_store.Items) -> None:
-        """Swap the whole configuration in one step."""
+        """Replace the whole configuration in one step."""
         table = routing.RouteTable(items)
         self.entry.put_in_force(table)
         self.route_service = {
@@ -146,7 +149,7 @@
         self.targets.keep_routes(self.route_service)
         self.targets.set_cold_limits(self._cold_limits(table))
         self.records_changed()
-        self._follow_evacuation(table)
+        self._apply_evacuation(table)
         self._update_collectors(table)
         if table.limits is not None:
             self.carrier.limit_callers(table.limits)
@@ -161,16 +164,16 @@
         self, table: routing.RouteTable
     ) -> dict[str, warmups.Limit]:
         settings = self.settings
-        found = {
+        limits = {
             name: warmups.Limit.from_service(
                 service, settings.cold_overage, settings.cold_slack
             )
             for name, service in table.services.items()
         }
-        return {name: limit for name, limit in found.items() if limit}
+        return {name: limit for name, limit in limits.items() if limit}
 
-    def _follow_evacuation(self, table: routing.RouteTable) -> None:
-        """Close or open the targets of this host with their domain."""
+    def _apply_evacuation(self, table: routing.RouteTable) -> None:
+        """Stop or resume the use of this host's targets with their domain."""
         evacuated = self.settings.domain in table.excluded.domains
         if evacuated == self.targets.evacuated:
             return
@@ -188,7 +191,7 @@
         self.perform(self.targets.evacuate(evacuated, self.clock.now_ms()))
 
     def records_changed(self) -> None:
-        """Let routing look at the hosts' records again."""
+        """Update routing from the hosts' records."""
         self.records_dirty = False
         records = self.node.members.records
         self.entry.records_changed(records, self.clock.now_ms())
@@ -197,14 +200,14 @@
             for record in records.present()
         )
         if self.settings.retry_slack:
-            # Hosts that are away count too: cut off, they go on spending. And
-            # one more: it has just joined, and is not known here.
+            # Unreachable hosts count too: they may be partitioned and still
+            # spend. One more host may have joined and not be known here yet.
             hosts = len(records.by_host) + 1
             reserve = self.settings.retry_slack / hosts
             self.entry.accounting.set_reserve(reserve)
 
     def reconfigure(self, settings: setting_store.ProxySettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         self.settings = settings
         self.node.overlay.set_configured(settings.known_controls)
         self.records_dirty = True
@@ -214,7 +217,7 @@
             collector = self.collectors.get(service)
             if not shares.move_id:
                 self.collectors.pop(service, None)
-                self.guards.pop(service, None)
+                self.version_comparisons.pop(service, None)
                 self.entry.placement.halted.pop(service, None)
             elif collector is None or collector.move_id != shares.move_id:
                 self._begin_collecting(service, shares)
@@ -235,21 +238,23 @@
             ordered[-1].version,
         )
         parameters = move_parameters.MoveParameters()
-        self.guards[service] = comparisons.VersionComparison(
+        self.version_comparisons[service] = comparisons.VersionComparison(
             ordered[0].version,
             ordered[-1].version,
             threshold=comparisons.threshold_for(
-                parameters.false_alarms / GUARD_FLEET, GUARD_WINDOWS
+                parameters.false_alarms / HALT_CHECK_PROXIES,
+                HALT_CHECK_WINDOWS,
             ),
             tolerance=parameters.tolerance,
         )
 
     def observe(self, effect: request_effects.Observe) -> None:
-        """Count an answer as evidence if its service moves.
+        """Count an answer as evidence if its service is being moved.
 
-        A version is judged by its own time. The wait for a slot differs
-        between versions as their slots are spread over failure domains, and
-        a good one that is short of slots for a moment would be taken back.
+        A version is judged by its processing time, without the wait for a
+        slot. That wait differs between versions because their slots are spread
+        over failure domains, and a good version that is briefly short of slots
+        would be rolled back.
         """
         service = self.route_service.get(effect.route, "")
         collector = self.collectors.get(service)
@@ -260,16 +265,16 @@
             collector.observe(key, effect.run_us, effect.failed, effect.cold)
         self.carrier.observe(effect)
 
-    def _guard(self, now_ms: int) -> None:
-        """Stop sending to a version on this proxy's own evidence.
+    def _halt_bad_versions(self, now_ms: int) -> None:
+        """Stop sending to a bad version on this proxy's evidence alone.
 
-        The leader may be away or cut off when a version turns bad. A halt
-        only ever takes traffic down; the leader alone gives it back.
+        The leader may be down or partitioned when a version turns bad. A halt
+        only ever reduces traffic; only the leader restores it.
         """
-        if now_ms < self.guard_at_ms:
+        if now_ms < self.next_halt_check_ms:
             return
-        self.guard_at_ms = now_ms + GUARD_MS
-        for service, comparison in self.guards.items():
+        self.next_halt_check_ms = now_ms + HALT_CHECK_INTERVAL_MS
+        for service, comparison in self.version_comparisons.items():
             collector = self.collectors[service]
             verdict = comparison.add(collector.take_window())
             if verdict is None or collector.halted:
@@ -304,18 +309,20 @@
     # Links
 
     def link_message(self, host: str, message: typing.Any) -> None:
-        """Take a message from a subscribed link."""
+        """Handle a message from a subscribed link."""
         match message:
             case messages.CrashNotice():
-                self._on_notice(host, message)
+                self._on_crash_notice(host, message)
             case messages.EvidenceReport():
-                self._pass_evidence(host, message)
+                self._forward_evidence(host, message)
             case _:
                 self.perform(
                     self.node.receive(host, message, self.clock.now_ms())
                 )
 
-    def _on_notice(self, source: str, notice: messages.CrashNotice) -> None:
+    def _on_crash_notice(
+        self, source: str, notice: messages.CrashNotice
+    ) -> None:
         if self.quarantine.receive(notice, self.clock.now_ms()):
             self._flood(notice, source)
 
@@ -324,7 +331,7 @@
             if host != source:
                 self.carrier.link_send(host, notice)
 
-    def _pass_evidence(
+    def _forward_evidence(
         self, source: str, report: messages.EvidenceReport
     ) -> None:
         uplink = self.node.overlay.uplink
@@ -334,11 +341,11 @@
     # Request links
 
     def request_message(self, origin: str, message: typing.Any) -> None:
-        """Take a message from a request link."""
+        """Handle a message from a request link."""
         receive(message, self, origin)
 
     def requests_lost(self, unsent: list[int], lost: list[int]) -> None:
-        """Note the requests that a broken request link carried."""
+        """Handle the requests in flight on a request link that broke."""
         now_ms, now_us = self.clock.now_ms(), self.now_us()
         for request_id in unsent:
             self.perform(self.entry.on_unsent(request_id, now_ms, now_us))
@@ -346,20 +353,23 @@
             self.perform(self.entry.on_lost(request_id, now_ms, now_us))
 
     def peer_doubted(self, host: str, doubted: bool) -> None:
-        """Note a peer that does not answer, or answers again."""
+        """Handle a peer that became unresponsive, or responds again."""
         now_ms, now_us = self.clock.now_ms(), self.now_us()
         self.perform(
             self.entry.set_unresponsive(host, doubted, now_ms, now_us)
         )
 
     def origin_lost(self, origin: str) -> None:
-        """Stop what a lost entry proxy asked for; nobody waits for it."""
+        """Cancel the requests of a lost entry proxy.
+
+        Nobody waits for their answers.
+        """
         now_ms = self.clock.now_ms()
-        for request_id in self.busy_origins.pop(origin, ()):
+        for request_id in self.requests_by_origin.pop(origin, ()):
             self.perform(self.targets.on_cancel(request_id, now_ms))
 
     def forward(self, effect: request_effects.Forward) -> None:
-        """Send a request to its target's proxy, maybe this one."""
+        """Send a request to its target's proxy, which may be this one."""
         request = effect.request
         if effect.host == self.settings.host:
             self.perform(
@@ -372,7 +382,7 @@
             self.requests_lost([request.request_id], [])
 
     def tell(self, host: str, address: str, message: typing.Any) -> None:
-        """Send to a peer's request link, or to this process itself."""
+        """Send on a peer's request link, or to this process itself."""
         if host == self.settings.host:
             receive(message, self, target_side.LOCAL)
             return
@@ -382,9 +392,9 @@
         self.carrier.tell(host, address, message)
 
     def reply(self, origin: str, message: typing.Any) -> None:
-        """Answer the origin of a message."""
+        """Reply to the origin of a message."""
         if isinstance(message, messages.Answer):
-            waiting = self.busy_origins.get(origin)
+            waiting = self.requests_by_origin.get(origin)
             if waiting is not None:
                 waiting.discard(message.request_id)
         if origin == target_side.LOCAL:
@@ -395,32 +405,32 @@
     # Callers
 
     def call(self, call: calls.Call) -> None:
-        """Take a caller's request."""
+        """Start a caller's request."""
         self.perform(
             self.entry.start(call, self.clock.now_ms(), self.now_us())
         )
 
-    def caller_gone(self, call_id: int) -> None:
-        """Note a caller that went away."""
+    def caller_disconnected(self, call_id: int) -> None:
+        """Cancel the call of a caller that disconnected."""
         self.perform(self.entry.cancel(call_id, self.clock.now_ms()))
 
     # Targets
 
     def announce(self, announcement: announcements.Announcement) -> None:
-        """Take a target's announcement or renewal."""
+        """Handle a target's announcement or renewal."""
         now_ms = self.clock.now_ms()
         for name in self.announced.replaced_by(announcement):
-            self.target_leaves(name, "another started at its port")
+            self.drop_target(name, "replaced by another on its port")
         if self.announced.is_late(announcement, now_ms):
             return
-        news = self.announced.put(announcement, now_ms)
-        given_back = self.targets.put_target(
+        changed = self.announced.put(announcement, now_ms)
+        released = self.targets.put_target(
             announcement.record,
             announcement.port,
             now_ms,
             announcement.warmup_left_ms,
         )
-        if news:
+        if changed:
             self._publish_targets(now_ms)
             self.carrier.note(
                 common.Note(
@@ -432,25 +442,26 @@
                     },
                 )
             )
-        # Others hear that it drains before they hear what it did not run.
-        self.perform(given_back)
+        # Other proxies learn that the target drains before they receive its
+        # refused requests.
+        self.perform(released)
 
-    def target_says_farewell(self, name: str, incarnation: int) -> bool:
-        """Take a target's word that this life of it ends.
+    def deregister_target(self, name: str, incarnation: int) -> bool:
+        """Drop a target that announced the end of this incarnation.
 
         Returns:
-            False if the word is late: the target has started again.
+            False if the announcement is outdated: the target has restarted.
         """
-        taken = self.announced.take_farewell(
+        accepted = self.announced.take_farewell(
             name, incarnation, self.clock.now_ms(), self.clock.wall_ms()
         )
-        if not taken:
+        if not accepted:
             return False
-        self.target_leaves(name, "it said so")
+        self.drop_target(name, "deregistered")
         return True
 
-    def target_leaves(self, name: str, why: str) -> bool:
-        """Drop a target; return whether it was here."""
+    def drop_target(self, name: str, why: str) -> bool:
+        """Remove a target; return whether it was known."""
         now_ms = self.clock.now_ms()
         if not self.announced.remove(name):
             return False
@@ -462,52 +473,54 @@
         return True
 
     def _publish_targets(self, now_ms: int) -> None:
-        names = [] if self.handed_over else sorted(self.announced.by_name)
+        names = (
+            [] if self.targets_withdrawn else sorted(self.announced.by_name)
+        )
         records = [
             self.targets.advertised_record(name, now_ms) for name in names
         ]
         self.perform(self.node.set_targets(records, now_ms))
 
-    def _tell_of_targets(self, now_ms: int) -> None:
-        """Tell other proxies how fast targets are, and which are cold."""
-        paces_due = now_ms >= self.pace_at_ms
-        if paces_due and self.targets.has_processing_times_to_report():
-            self.pace_at_ms = now_ms + TELL_PACE_MS
+    def _publish_target_changes(self, now_ms: int) -> None:
+        """Publish changed processing times and cold states of targets."""
+        times_due = now_ms >= self.processing_times_due_ms
+        if times_due and self.targets.has_processing_times_to_report():
+            self.processing_times_due_ms = now_ms + PROCESSING_TIME_INTERVAL_MS
             self._publish_targets(now_ms)
         elif self.targets.has_cold_state_changed(now_ms):
             self._publish_targets(now_ms)
 
     def target_warmup(self, target: str, left_ms: int) -> None:
-        """Take how much longer a local target is cold, as it was asked."""
+        """Handle a local target's reported remaining warm-up time."""
         self.targets.on_warmup(target, left_ms, self.clock.now_ms())
 
     def target_answered(self, answer: messages.Answer) -> None:
-        """Take a local target's whole answer."""
+        """Handle a local target's complete answer."""
         self.perform(
             self.targets.on_target_answer(answer, self.clock.now_ms())
         )
 
     def target_unsent(self, request_id: int) -> None:
-        """Note a request that did not reach its local target.
+        """Handle a request that did not reach its local target.
 
-        A dead target's lease runs on for seconds. Requests would be led to
-        it, refused and led on, until the service's retry budget is spent
-        and callers see refusals. It leaves at once; if it lives, its next
-        renewal brings it back within a second.
+        The lease of a dead target lasts for seconds more. Requests would be
+        sent to it, refused and retried until the service's retry budget is
+        spent and callers see refusals. The target is therefore dropped at
+        once; if it is alive, its next renewal adds it again within a second.
         """
         entry = self.targets.running.get(request_id)
         self.perform(
             self.targets.on_target_unsent(request_id, self.clock.now_ms())
         )
         if entry is not None:
-            self.target_leaves(entry.target, "it refuses connections")
+            self.drop_target(entry.target, "refuses connections")
 
     def target_checked(self, target: str, accepts: bool) -> None:
-        """Take whether a local target takes connections."""
+        """Handle the result of a local target's connection check."""
         self.perform(self.targets.on_target_checked(target, accepts))
 
-    def target_broke(self, request_id: int) -> None:
-        """Note a local target's connection that broke."""
+    def target_disconnected(self, request_id: int) -> None:
+        """Handle a local target's connection that broke during a request."""
         self.perform(
             self.targets.on_target_disconnected(
                 request_id, self.clock.now_ms()
@@ -517,13 +530,13 @@
     # Time
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Run periodic work."""
         now_ms, now_us = self.clock.now_ms(), self.now_us()
         self.perform(self.node.tick(now_ms))
         if self.records_dirty:
             self.records_changed()
         for name in self.announced.expired(now_ms):
-            self.target_leaves(name, "lease ran out")
+            self.drop_target(name, "lease expired")
         self.perform(self.targets.tick(now_ms))
         self.perform(self.entry.tick(now_ms, now_us))
         pull = messages.LedgerPull(
@@ -531,34 +544,34 @@
         )
         for host in self.ledger.tick(now_ms, self.node.ready):
             self.tell(host, "", pull)
-        self._guard(now_ms)
+        self._halt_bad_versions(now_ms)
         self._report(now_ms)
-        self._tell_of_targets(now_ms)
+        self._publish_target_changes(now_ms)
         self.perform(
-            self.spending.report(self.entry.accounting.budgets, now_ms)
+            self.spending_log.report(self.entry.accounting.budgets, now_ms)
         )
-        self._hand_over_in_time(now_ms)
+        self._withdraw_targets_if_due(now_ms)
         self.relay.tick(now_ms)
 
     # Operators
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers are served here."""
+        """Return whether callers are served here."""
         return self.node.ready and not self.leaving_since_ms
 
     def submit(
         self, command: messages.Command, reply: operators.OnReply
     ) -> None:
-        """Pass an operator's command on."""
+        """Forward an operator's command to a control host."""
         self.relay.submit(command, reply, self.clock.now_ms())
 
     def ask(self, query: messages.Query, reply: operators.OnReply) -> None:
-        """Pass an operator's query on."""
+        """Forward an operator's query to a control host."""
         self.relay.ask(query, reply, self.clock.now_ms())
 
     def gauges(self) -> dict[str, float]:
-        """Return what is true now, for metrics."""
+        """Return the current gauge values for metrics."""
         return {
             "revision": self.node.config.in_force.revision,
             "calls_waiting": len(self.entry.live),
@@ -573,18 +586,18 @@
         }
 
     def families(self) -> list[exposition.Family]:
-        """Return repeats and budgets by service, and slots by target."""
+        """Return retry metrics by service and slot metrics by target."""
         repeats = budget_metrics.families(self.entry.accounting.budgets)
         return repeats + slot_metrics.families(self.targets.targets.values())
 
     # Leaving
 
     def leave(self) -> None:
-        """Begin a graceful shutdown.
+        """Start a graceful shutdown.
 
-        Its targets go on running, and while callers still come here they are
-        reached through it: a fleet that restarts in turn would else be short
-        of a target for all the time that each proxy lingers.
+        The targets of this host keep running and stay reachable through this
+        proxy while callers still use it. Otherwise a rolling restart would
+        make each host's targets unavailable for the whole linger time.
         """
         if self.leaving_since_ms:
             return
@@ -600,52 +613,52 @@
         )
         if not self.settings.linger_ms:
             self.refuse_calls()
-        self._hand_over_in_time(self.leaving_since_ms)
+        self._withdraw_targets_if_due(self.leaving_since_ms)
 
-    def _hand_over_in_time(self, now_ms: int) -> None:
-        """Send others elsewhere once the end is near.
+    def _withdraw_targets_if_due(self, now_ms: int) -> None:
+        """Withdraw this host's targets shortly before the shutdown ends.
 
-        The record without targets keeps them from sending more; what they
-        sent before they heard of it still runs.
+        A record without targets stops other proxies from sending more.
+        Requests that they sent before still run.
         """
         waited_ms = now_ms - self.leaving_since_ms
-        if self.handed_over or not self.leaving_since_ms:
+        if self.targets_withdrawn or not self.leaving_since_ms:
             return
-        if waited_ms >= self.settings.linger_ms - HAND_OVER_MS:
-            self.handed_over = True
+        if waited_ms >= self.settings.linger_ms - WITHDRAW_BEFORE_END_MS:
+            self.targets_withdrawn = True
             self._publish_targets(now_ms)
             self.perform(self.node.leave(now_ms))
 
     def refuse_calls(self) -> None:
-        """Refuse new work as not run; what runs goes on to its end."""
+        """Refuse new requests as not run; running ones are finished."""
         self.entry.draining = True
         self.targets.leaving = True
 
     @property
     def idle(self) -> bool:
-        """Tell whether nothing runs here any more."""
+        """Return whether no call is waiting and no request is running."""
         waiting = self.entry.live or self.entry.pending.by_id
         return not waiting and not self.targets.running
 
-    def may_end(self, sending: bool = False) -> bool:
-        """Tell whether a shutdown is through, or its time is.
+    def may_exit(self, sending: bool = False) -> bool:
+        """Return whether a shutdown is complete or its time is up.
 
-        A request that its target still runs is waited for until shortly
-        before the process is killed.
+        Running requests are waited for until shortly before the process is
+        killed.
 
         Args:
-            sending: Whether answers still wait to be sent.
+            sending: Whether requests or answers are still in transfer.
         """
         waited_ms = self.clock.now_ms() - self.leaving_since_ms
-        if waited_ms >= self.settings.grace_ms - END_MARGIN_MS:
+        if waited_ms >= self.settings.grace_ms - SHUTDOWN_MARGIN_MS:
             return True
-        least_ms = max(self.settings.linger_ms, LEAST_LEAVE_MS)
-        return waited_ms >= least_ms and self.idle and not sending
+        min_ms = max(self.settings.linger_ms, MIN_SHUTDOWN_MS)
+        return waited_ms >= min_ms and self.idle and not sending
 
     def admit(self, hello: messages.Hello) -> int:
-        """Return 0 to serve a peer, else how long it should wait in ms."""
+        """Return 0 to accept a peer, else its retry delay in ms."""
         if self.leaving_since_ms:
-            return COLD_MS
+            return LEAVING_RETRY_MS
         return super().admit(hello)
 
 
@@ -662,8 +675,8 @@
 
 @carry.register
 def _(effect: fleet_effects.RecordsChanged, process: ProxyProcess) -> None:
-    # Routing looks again at the next tick: a herd's return would else
-    # rebuild the endpoints for every single record.
+    # Routing is updated at the next tick: when many hosts return at once, the
+    # endpoints would otherwise be rebuilt for every record.
     process.records_dirty = True
 
 
@@ -733,12 +746,14 @@
 
 @functools.singledispatch
 def receive(message: typing.Any, process: ProxyProcess, origin: str) -> None:
-    """Take one message from a request link; others are ignored."""
+    """Handle a message from a request link; unknown ones are ignored."""
 
 
 @receive.register
 def _(message: messages.Request, process: ProxyProcess, origin: str) -> None:
-    process.busy_origins.setdefault(origin, set()).add(message.request_id)
+    process.requests_by_origin.setdefault(origin, set()).add(
+        message.request_id
+    )
     process.perform(
         process.targets.on_request(origin, message, process.clock.now_ms())
     )
--- a/libs/daemon/src/trefoil_daemon/readiness.py
+++ b/libs/daemon/src/trefoil_daemon/readiness.py
@@ -31,4 +31,4 @@
         if self.process.ready:
             connection.answer(200, "OK")
         else:
-            connection.answer_own(503, "not ready")
+            connection.answer_text(503, "not ready")
--- a/libs/daemon/src/trefoil_daemon/relay.py
+++ b/libs/daemon/src/trefoil_daemon/relay.py
@@ -1,4 +1,4 @@
-"""Operators' commands and queries passed from a proxy to control hosts."""
+"""Forwards operators' commands and queries from a proxy to control hosts."""
 
 import typing
 
@@ -8,24 +8,35 @@
 
 
 class Relay:
-    """Passes lines on and the replies back.
+    """Forwards commands and queries, and returns the replies.
+
+    Requests go to one control host until it cannot be reached or does not
+    answer; then the next one is tried.
 
     Args:
-        controls: Address of each control process by name.
-        tell: Sends on a request link; False if the peer can't be reached.
+        controls: Address of each control process, by name.
+        tell: Sends on a request link; returns False if the peer cannot be
+            reached.
     """
 
-    __slots__ = ("names", "controls", "tell", "at", "commands", "queries")
+    __slots__ = (
+        "control_names",
+        "controls",
+        "tell",
+        "control_index",
+        "commands",
+        "queries",
+    )
 
     def __init__(
         self,
         controls: dict[str, str],
         tell: typing.Callable[[str, str, typing.Any], bool],
     ) -> None:
-        self.names = sorted(controls)
+        self.control_names = sorted(controls)
         self.controls = controls
         self.tell = tell
-        self.at = 0
+        self.control_index = 0
         self.commands = operators.Waiters()
         self.queries = operators.Waiters()
 
@@ -35,7 +46,7 @@
         reply: operators.OnReply,
         now_ms: int,
     ) -> None:
-        """Pass a command on."""
+        """Forward a command; dropped if too many are waiting."""
         until_ms = now_ms + operators.PENDING_MS + operators.COME_BACK_MS
         request = messages.CommandRequest(command, 0)
         if self.commands.add(command.command_id, request, reply, until_ms):
@@ -44,41 +55,41 @@
     def ask(
         self, query: messages.Query, reply: operators.OnReply, now_ms: int
     ) -> None:
-        """Pass a query on."""
+        """Forward a query; dropped if too many are waiting."""
         until_ms = now_ms + operators.QUERY_MS + operators.COME_BACK_MS
         if self.queries.add(query.query_id, query, reply, until_ms):
             self._send(query)
 
     def _send(self, message: typing.Any) -> None:
-        name = self.names[self.at % len(self.names)]
+        name = self.control_names[self.control_index % len(self.control_names)]
         if not self.tell(name, self.controls[name], message):
-            self.at += 1
+            self.control_index += 1
 
     def on_reply(self, message: typing.Any) -> None:
-        """Give a reply to those who wait for it."""
+        """Deliver a reply to all who wait for it."""
         match message:
             case messages.CommandReply():
                 if message.outcome == messages.Outcome.PENDING:
-                    # Its control process may be cut off from the leader.
-                    self.at += 1
-                found = self.commands.take(message.command_id)
+                    # This control process may be partitioned from the leader.
+                    self.control_index += 1
+                waiters = self.commands.take(message.command_id)
             case messages.QueryReply():
-                found = self.queries.take(message.query_id)
+                waiters = self.queries.take(message.query_id)
             case _:
-                found = []
-        for waiter in found:
+                waiters = []
+        for waiter in waiters:
             waiter.reply(message)
 
     def tick(self, now_ms: int) -> None:
-        """Answer those whose control host stays silent."""
+        """Answer requests that no control host answered in time."""
         for waiter in self.commands.expired(now_ms):
-            self.at += 1
+            self.control_index += 1
             command_id = waiter.request.command.command_id
             waiter.reply(
                 operators.pending(command_id, "no control host answers")
             )
         for waiter in self.queries.expired(now_ms):
-            self.at += 1
+            self.control_index += 1
             waiter.reply(
                 messages.QueryReply(
                     waiter.request.query_id, False, "no control host answers"
--- a/libs/daemon/src/trefoil_daemon/runtime.py
+++ b/libs/daemon/src/trefoil_daemon/runtime.py
@@ -1,7 +1,7 @@
-"""The circuits side of a daemon: one loop on one thread.
+"""The event loop of a daemon, on circuits and a single thread.
 
-The runtime carries a process engine's effects: it implements the facade over
-sockets, beats the engine's clock and ends on signals.
+The runtime carries out a process engine's effects: it implements the facade
+over sockets, calls the engine's ``tick`` periodically and exits on signals.
 """
 
 import gc
@@ -27,21 +27,21 @@
 from . import reload
 from . import transport as transports
 
-BEAT_S = 0.05
-FLUSH_MS = 10_000
+TICK_INTERVAL_S = 0.05
+METRICS_FLUSH_INTERVAL_MS = 10_000
 GC_THRESHOLDS = (20_000, 20, 100)
 
 
 class beat(circuits.Event):
-    """Time passes."""
+    """Fires at each tick."""
 
 
 class Runtime(circuits.BaseComponent):
-    """What both daemons share.
+    """Base class of both daemons.
 
     Args:
         name: Name of the process.
-        log_level: Least level that is logged.
+        log_level: Minimum level that is logged.
         statsd: Address of a statsd server; empty for none.
         clock: The runtime's clock.
     """
@@ -55,8 +55,8 @@
         statsd: str,
         clock: clocks.Clock | None = None,
     ) -> None:
-        """Build the parts; the engine is set by the daemon."""
-        self.name_of_process = name
+        """Create the components; subclasses set ``engine``."""
+        self.process_name = name
         self.system_clock = clock or clocks.SystemClock()
         self.poller = transports.DirectPoller().register(self)
         self.transport = transports.Transport(self.poller).register(self)
@@ -69,38 +69,38 @@
         self.rng = random.Random()
         self.http_servers: list[typing.Any] = []
         self.reloader: reload.Reloader | None = None
-        circuits.Timer(BEAT_S, beat(), self.channel, persist=True).register(
-            self
-        )
+        circuits.Timer(
+            TICK_INTERVAL_S, beat(), self.channel, persist=True
+        ).register(self)
 
-    def settle(self) -> None:
-        """Keep what lives as long as the process out of collections.
+    def tune_gc(self) -> None:
+        """Exclude the objects created so far from garbage collection.
 
-        A full collection walks every object of the libraries and shows as a
-        pause of tens of milliseconds in one call of a thousand.
+        A full collection would traverse every object of the libraries, a
+        pause of tens of milliseconds that affects one call in a thousand.
         """
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
 
     def interface(self) -> http_server.Handler:
-        """Return what answers targets and operators."""
+        """Return the handler of the admin listener."""
         return admin.Admin(
             self.engine,
             self.system_clock,
             self.metrics,
             self.hub.bytes_out,
-            self.name_of_process,
+            self.process_name,
         )
 
-    def serve_operators(self, address: str, max_body: int) -> int:
-        """Open the interface for targets and operators; return the port."""
+    def serve_admin(self, address: str, max_body: int) -> int:
+        """Open the admin listener; return its port."""
         server = http_server.HttpServer(
             self.transport,
             self.interface(),
             self.system_clock,
-            limits=http_server.SenderLimits(max_body=max_body),
-            bad=self.bad_http,
+            limits=http_server.ConnectionLimits(max_body=max_body),
+            malformed=self.log_malformed_http,
         )
         self.http_servers.append(server)
         return server.listen(address)
@@ -108,7 +108,7 @@
     # Events
 
     @handlers.handler("beat")
-    def _on_beat(self) -> None:
+    def _on_tick(self) -> None:
         self.engine.tick()
         self.hub.tick()
         for server in self.http_servers:
@@ -117,12 +117,12 @@
         if self.reloader is not None:
             self._reload(now_ms)
         if now_ms >= self.flush_at_ms:
-            self.flush_at_ms = now_ms + FLUSH_MS
+            self.flush_at_ms = now_ms + METRICS_FLUSH_INTERVAL_MS
             self.metrics.flush()
-        self.after_beat()
+        self.after_tick()
 
     def serve_metrics(self, address: str) -> None:
-        """Open the address where metrics are read, if there is one."""
+        """Open the metrics listener; nothing if the address is empty."""
         if not address:
             return
         server = http_server.HttpServer(
@@ -134,14 +134,14 @@
                 self.engine,
             ),
             self.system_clock,
-            limits=http_server.SenderLimits(max_body=0),
-            bad=self.bad_http,
+            limits=http_server.ConnectionLimits(max_body=0),
+            malformed=self.log_malformed_http,
         )
         self.http_servers.append(server)
         server.listen(address)
 
     def watch_settings(self, reloader: "reload.Reloader") -> None:
-        """Take changed settings from now on, on SIGHUP and by themselves."""
+        """Reload changed settings from now on, by polling and on SIGHUP."""
         self.reloader = reloader
         signals.signal(signals.SIGHUP, lambda *_: reloader.hasten())
 
@@ -157,13 +157,13 @@
         self.note(common.Note("settings.reloaded"))
 
     def reconfigure(self, settings: typing.Any) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
 
     def limit_callers(self, limits: messages.CallerLimits) -> None:
-        """Take the configuration's limits for callers (proxies only)."""
+        """Apply the configuration's limits for callers (proxies only)."""
 
-    def after_beat(self) -> None:
-        """Do what a daemon adds to each beat."""
+    def after_tick(self) -> None:
+        """Run a daemon's own work after each tick."""
 
     @handlers.handler("signal", channel="*")
     def _on_signal(self, number: int, stack: typing.Any) -> None:
@@ -172,7 +172,7 @@
 
     @handlers.handler("exception", channel="*", priority=100.0)
     def _on_exception(self, *args: typing.Any, **kwargs: typing.Any) -> None:
-        """Log what a handler raised; one bad event must not end all."""
+        """Log an exception of a handler; the process goes on."""
         kind, value, trace = args[0], args[1], args[2]
         lines = trace if isinstance(trace, list) else [str(trace)]
         self.note(
@@ -188,13 +188,13 @@
         )
 
     def leave(self) -> None:
-        """End the process."""
+        """Exit the process."""
         raise SystemExit(0)
 
     # The facade
 
     def link_send(self, host: str, message: typing.Any) -> None:
-        """Send on a subscribed link; dropped if there is none."""
+        """Send on a subscribed link; dropped if there is no link."""
         self.hub.link_send(host, message)
 
     def dial(self, host: str, address: str) -> None:
@@ -206,45 +206,45 @@
         self.hub.hang_up(host)
 
     def probe(self, host: str, address: str) -> None:
-        """Connect to a peer once and tell the engine."""
+        """Connect to a peer once and report the result to the engine."""
 
-        def told(answered: bool) -> None:
+        def on_result(answered: bool) -> None:
             now_ms = self.system_clock.now_ms()
             self.engine.perform(
                 self.engine.node.on_probe_result(host, answered, now_ms)
             )
 
-        self.hub.probe(address, told)
+        self.hub.probe(address, on_result)
 
     def tell(self, host: str, address: str, message: typing.Any) -> bool:
         """Send on a request link."""
         return self.hub.tell(host, address, message)
 
     def reply(self, origin: str, message: typing.Any) -> None:
-        """Answer on the connection that a message came by."""
+        """Reply on the connection on which a message arrived."""
         connection = self.origins.get(origin)
         if connection is not None:
             self.hub.reply(connection, message)
 
     def finish(self, final: calls.Final) -> None:
-        """Give a caller its final answer (proxies only)."""
+        """Send a caller its final answer (proxies only)."""
 
     def dispatch(self, effect: request_effects.Dispatch) -> None:
         """Run a request on a local target (proxies only)."""
 
     def abort(self, request_id: int) -> None:
-        """Stop waiting for a local target (proxies only)."""
+        """Abort a request on a local target (proxies only)."""
 
     def check_target(self, effect: request_effects.CheckTarget) -> None:
-        """Find out whether a local target takes connections (proxies)."""
+        """Check whether a local target accepts connections (proxies only)."""
 
     def check_warmup(
         self, effect: request_effects.CheckWarmup, path: str
     ) -> None:
-        """Ask a local target how much longer it is cold (proxies only)."""
+        """Ask a local target for its remaining warm-up time (proxies only)."""
 
     def note(self, note: common.Note) -> None:
-        """Write a log line, and count it."""
+        """Write a log line and count its event."""
         self.metrics.count(note.event)
         self.log.note(note)
 
@@ -253,30 +253,30 @@
         self.metrics.count(count.name, count.value)
 
     def observe(self, effect: request_effects.Observe) -> None:
-        """Record a latency by tenant."""
+        """Record a latency for a tenant."""
         self.metrics.latency(effect.tenant, effect.latency_us)
 
     # The hub's owner
 
     def greeting(self, subscribe: bool) -> typing.Any:
-        """Return the greeting of this process."""
+        """Return the hello message of this process."""
         return self.engine.greeting(subscribe)
 
     def is_cross_domain(self, host: str) -> bool:
-        """Tell whether a peer is in another failure domain."""
+        """Return whether a peer is in another failure domain."""
         return self.engine.node.is_cross_domain(host)
 
     def admit(self, hello: typing.Any) -> int:
-        """Return 0 to serve a peer, else how long it should wait in ms."""
+        """Return 0 to accept a peer, else its retry delay in ms."""
         return self.engine.admit(hello)
 
     def link_up(self, host: str, hello: typing.Any, served: bool) -> None:
-        """Note a subscribed link."""
+        """Handle an established subscribed link."""
         self.note(common.Note("link.up", {"peer": host, "served": served}))
         self.engine.link_up(host, hello, served)
 
     def link_down(self, host: str, retry_after_ms: int) -> None:
-        """Note a subscribed link that broke or was refused."""
+        """Handle a subscribed link that broke or was refused."""
         self.note(
             common.Note(
                 "link.down", {"peer": host, "again_in_ms": retry_after_ms}
@@ -285,40 +285,40 @@
         self.engine.link_down(host, retry_after_ms)
 
     def link_message(self, host: str, message: typing.Any) -> None:
-        """Take a message from a subscribed link."""
+        """Handle a message from a subscribed link."""
         self.engine.link_message(host, message)
 
     def request_message(
         self, connection: hubs.Connection, message: typing.Any
     ) -> None:
-        """Take a message from a request link."""
+        """Handle a message from a request link."""
         name = connection.name
         if not connection.outgoing:
             self.origins[name] = connection
         self.engine.request_message(name, message)
 
     def requests_lost(self, unsent: list[int], lost: list[int]) -> None:
-        """Note the requests that a broken request link carried."""
+        """Handle the requests in flight on a request link that broke."""
         self.engine.requests_lost(unsent, lost)
 
     def peer_doubted(self, host: str, doubted: bool) -> None:
-        """Note a peer that does not answer, or answers again."""
+        """Handle a peer that became unresponsive, or responds again."""
         self.engine.peer_doubted(host, doubted)
 
     def origin_lost(self, connection: hubs.Connection) -> None:
-        """Note an incoming request link that broke."""
+        """Handle an incoming request link that broke."""
         if self.origins.pop(connection.name, None) is not None:
             self.engine.origin_lost(connection.name)
 
     def bad_peer(self, host: str, why: str) -> None:
-        """Log a peer that sent something malformed."""
+        """Log a malformed message of a peer."""
         self.note(
             common.Note(
                 "peer.malformed", {"peer": host, "why": why}, "warning"
             )
         )
 
-    def bad_http(self, why: str) -> None:
-        """Log a caller, target or operator that sent something malformed."""
+    def log_malformed_http(self, why: str) -> None:
+        """Log and count a malformed request to an HTTP listener."""
         self.metrics.count("http.malformed")
         self.note(common.Note("http.malformed", {"why": why}, "warning"))
--- a/libs/daemon/src/trefoil_daemon/slot_metrics.py
+++ b/libs/daemon/src/trefoil_daemon/slot_metrics.py
@@ -1,4 +1,4 @@
-"""What the slots of this host's targets are taken by, on the metrics page."""
+"""Metrics of the slots of this host's targets."""
 
 import collections.abc
 
@@ -10,12 +10,12 @@
 def families(
     targets: collections.abc.Iterable[target_side.LocalTarget],
 ) -> list[exposition.Family]:
-    """Return each target's slots by what they are taken by."""
+    """Return each target's slots, running requests and queued requests."""
     slots = exposition.Family(
         "slots",
         "Slots of the targets here, those that run and what waits for one",
         ["target", "state"],
-        counts=False,
+        is_counter=False,
     )
     for target in targets:
         name, gate = target.record.name, target.slots
--- a/libs/daemon/src/trefoil_daemon/transport.py
+++ b/libs/daemon/src/trefoil_daemon/transport.py
@@ -1,8 +1,8 @@
-"""Streams over TCP on the circuits poller.
+"""TCP streams on the circuits poller.
 
-One component carries every socket of a process. It writes at once and
-buffers only what the kernel does not take, so a message costs one event (its
-read) and not one for each step on its way.
+One component handles every socket of a process. It writes immediately and
+buffers only what the kernel does not accept, so a message costs one event
+(its read) instead of one for each processing step.
 """
 
 import collections.abc
@@ -19,7 +19,7 @@
 READ_BYTES = 65536
 ACCEPTS_PER_EVENT = 64
 MAX_BUFFERED_BYTES = 8 * 1024 * 1024
-AGAIN = (errno.EWOULDBLOCK, errno.EAGAIN, errno.EINTR)
+RETRYABLE_ERRNOS = (errno.EWOULDBLOCK, errno.EAGAIN, errno.EINTR)
 
 OnData = collections.abc.Callable[["Stream", bytes], None]
 OnClose = collections.abc.Callable[["Stream"], None]
@@ -30,12 +30,13 @@
     """One TCP connection.
 
     Args:
-        transport: The component that carries it.
-        sock: Its socket, non-blocking.
-        connecting: Whether the connection is still being made.
+        transport: The component that handles the stream.
+        sock: The non-blocking socket.
+        connecting: Whether the connection is still being established.
 
-    ``ended`` tells that the peer closed its side in order; a connection that
-    was reset may have lost bytes.
+    ``eof_received`` is true if the peer closed its side in an orderly way; on
+    a reset, bytes may be lost. ``closing`` is true while the stream closes
+    after its buffered data, ``owner`` is for the user of the stream.
     """
 
     __slots__ = (
@@ -43,9 +44,9 @@
         "sock",
         "connecting",
         "closed",
-        "ended",
+        "eof_received",
         "closing",
-        "pending",
+        "write_buffer",
         "on_data",
         "on_close",
         "on_open",
@@ -60,9 +61,9 @@
         self.sock = sock
         self.connecting = connecting
         self.closed = False
-        self.ended = False
+        self.eof_received = False
         self.closing = False
-        self.pending = bytearray()
+        self.write_buffer = bytearray()
         self.on_data: OnData | None = None
         self.on_close: OnClose | None = None
         self.on_open: OnOpen | None = None
@@ -71,20 +72,20 @@
 
     @property
     def unsent(self) -> int:
-        """Return how many bytes the kernel has not taken yet."""
-        return len(self.pending)
+        """Return the number of bytes not yet accepted by the kernel."""
+        return len(self.write_buffer)
 
     def write(self, data: bytes) -> None:
-        """Send bytes, now if the kernel takes them."""
+        """Send bytes, buffering what the kernel does not accept."""
         if self.closed or self.closing:
             return
-        if self.connecting or self.pending:
+        if self.connecting or self.write_buffer:
             self._buffer(data)
             return
         try:
             sent = self.sock.send(data)
         except OSError as error:
-            if error.errno not in AGAIN:
+            if error.errno not in RETRYABLE_ERRNOS:
                 self.close()
                 return
             sent = 0
@@ -93,49 +94,50 @@
             self.transport.want_write(self)
 
     def _buffer(self, data: bytes) -> None:
-        if len(self.pending) > MAX_BUFFERED_BYTES:
-            # A peer that reads too slowly would else make this process
-            # hold everything that is meant for it. One message of any size
-            # is let through: only what comes behind it is too much.
+        if len(self.write_buffer) > MAX_BUFFERED_BYTES:
+            # Bounds the memory used for a peer that reads too slowly. A
+            # single message of any size is accepted; the limit applies to
+            # those after it.
             self.close()
             return
-        self.pending += data
+        self.write_buffer += data
 
     def pause(self, paused: bool) -> None:
-        """Stop or resume reading, to hold a fast sender back."""
+        """Stop or resume reading, to apply back-pressure to the sender."""
         if not self.closed and not self.connecting:
             if self.reading == paused:
                 self.reading = not paused
                 self.transport.want_read(self, not paused)
 
     def close_after_write(self) -> None:
-        """Close once everything written has been sent."""
-        if not self.pending:
+        """Close once all buffered data has been sent."""
+        if not self.write_buffer:
             self.close()
         else:
             self.closing = True
 
     def close(self) -> None:
-        """Close now."""
+        """Close immediately."""
         if self.closed:
             return
         self.closed = True
-        self.transport.forget(self)
+        self.transport.remove_stream(self)
         if self.on_close is not None:
             self.on_close(self)
 
 
 class DirectPoller(pollers.EPoll):
-    """An epoll poller that hands readiness straight to its transport.
+    """An epoll poller that calls its transport directly.
 
-    An event for each read would wait in the queue behind the next poll and
-    costs a dispatch; under load that is an eighth of a call's processor time.
+    An event for each read would be queued until after the next poll and
+    dispatched separately; under load that takes an eighth of a call's
+    processor time.
     """
 
     channel = "direct-poller"
 
     def init(self, channel: str = channel) -> None:
-        """Start without a transport."""
+        """Initialize without a transport, which sets itself later."""
         self.transport: "Transport | None" = None
 
     def _process(self, fileno: int, event: int) -> None:
@@ -151,40 +153,40 @@
             if event & select.EPOLLOUT:
                 self.transport.writable(fd)
         except Exception:
-            # The runtime logs it; the stream that led to it must not stay
-            # half handled.
+            # The runtime logs the exception. The stream is closed, since its
+            # input was only partly processed.
             self.transport.broken(fd)
             raise
 
 
 class Transport(circuits.BaseComponent):
-    """The component that carries all streams of a process."""
+    """The component that handles all streams of a process."""
 
     channel = "transport"
 
     def init(self, poller: DirectPoller) -> None:
-        """Take the poller to watch sockets with."""
+        """Attach to the poller that watches the sockets."""
         self.poller = poller
         poller.transport = self
         self.streams: dict[socket.socket, Stream] = {}
         self.listeners: dict[socket.socket, OnOpen] = {}
 
     def listen(self, address: str, on_open: OnOpen) -> int:
-        """Take connections at an address; return the port."""
+        """Accept connections at an address; return the port."""
         sock = ports.take(address)
         self.listeners[sock] = on_open
         self.poller.addReader(self, sock)
         return sock.getsockname()[1]
 
     def stop_listening(self) -> None:
-        """Take no more connections."""
+        """Close all listening sockets."""
         for sock in list(self.listeners):
             self.poller.discard(sock)
             sock.close()
         self.listeners = {}
 
     def connect(self, address: str, on_open: OnOpen) -> Stream:
-        """Begin a connection; ``on_open`` is called when it is made."""
+        """Start to connect; ``on_open`` is called once connected."""
         host, _, port = address.rpartition(":")
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -197,7 +199,7 @@
         return stream
 
     def want_write(self, stream: Stream) -> None:
-        """Ask to be told when a stream takes bytes again."""
+        """Watch for a stream to become writable."""
         if not self.poller.isWriting(stream.sock):
             self.poller.addWriter(self, stream.sock)
 
@@ -208,14 +210,14 @@
         else:
             self.poller.removeReader(stream.sock)
 
-    def forget(self, stream: Stream) -> None:
-        """Drop a closed stream's socket."""
+    def remove_stream(self, stream: Stream) -> None:
+        """Remove a closed stream and close its socket."""
         self.streams.pop(stream.sock, None)
         self.poller.discard(stream.sock)
         stream.sock.close()
 
     def readable(self, sock: socket.socket) -> None:
-        """Take a connection or bytes."""
+        """Accept connections or read data from a readable socket."""
         on_open = self.listeners.get(sock)
         if on_open is not None:
             self._accept(sock, on_open)
@@ -226,15 +228,15 @@
         try:
             data = sock.recv(READ_BYTES)
         except OSError as error:
-            if error.errno not in AGAIN:
+            if error.errno not in RETRYABLE_ERRNOS:
                 stream.close()
             return
         if not data:
-            stream.ended = True
+            stream.eof_received = True
             stream.close()
         elif stream.on_data is not None and not stream.closing:
-            # What comes after the last answer can't be answered any more, so
-            # it must not be run.
+            # A request after the last answer could not be answered, so it
+            # must not be run.
             stream.on_data(stream, data)
 
     def _accept(self, listener: socket.socket, on_open: OnOpen) -> None:
@@ -251,15 +253,15 @@
             on_open(stream)
 
     def writable(self, sock: socket.socket) -> None:
-        """Go on with a connection or with bytes that wait."""
+        """Finish a connection or send buffered data on a writable socket."""
         stream = self.streams.get(sock)
         if stream is None:
             return
-        if stream.connecting and not self._connected(stream):
+        if stream.connecting and not self._finish_connect(stream):
             return
-        self._drain(stream)
+        self._flush(stream)
 
-    def _connected(self, stream: Stream) -> bool:
+    def _finish_connect(self, stream: Stream) -> bool:
         sock = stream.sock
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             stream.close()
@@ -270,23 +272,23 @@
             stream.on_open(stream)
         return not stream.closed
 
-    def _drain(self, stream: Stream) -> None:
-        if stream.pending:
+    def _flush(self, stream: Stream) -> None:
+        if stream.write_buffer:
             try:
-                sent = stream.sock.send(stream.pending)
+                sent = stream.sock.send(stream.write_buffer)
             except OSError as error:
-                if error.errno not in AGAIN:
+                if error.errno not in RETRYABLE_ERRNOS:
                     stream.close()
                 return
-            del stream.pending[:sent]
-        if stream.pending:
+            del stream.write_buffer[:sent]
+        if stream.write_buffer:
             return
         self.poller.removeWriter(stream.sock)
         if stream.closing:
             stream.close()
 
     def broken(self, sock: socket.socket) -> None:
-        """Close a connection that the kernel gave up."""
+        """Close the stream of a socket that failed."""
         stream = self.streams.get(sock)
         if stream is not None:
             stream.close()
--- a/libs/daemon/tests/test_edges.py
+++ b/libs/daemon/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""What callers and targets do at a proxy's edges, without a socket."""
+"""Tests of a proxy's HTTP interfaces to callers and targets, in memory."""
 
 import typing
 
@@ -31,13 +31,13 @@
 
 
 class Stream:
-    """One connection whose other end the test plays."""
+    """A fake stream whose peer is the test."""
 
     def __init__(self) -> None:
         self.connecting = False
         self.closed = False
         self.closing = False
-        self.ended = False
+        self.eof_received = False
         self.unsent = 0
         self.sent = b""
         self.owner: typing.Any = None
@@ -46,7 +46,7 @@
         self.on_open: typing.Any = None
 
     def write(self, data: bytes) -> None:
-        """Keep what is sent."""
+        """Record sent data."""
         self.sent += data
 
     def pause(self, paused: bool) -> None:
@@ -57,29 +57,29 @@
         self.close()
 
     def close(self) -> None:
-        """Close once."""
+        """Close, with one callback."""
         if not self.closed:
             self.closed = True
             self.on_close(self)
 
     def peer_sends(self, data: bytes) -> None:
-        """Let bytes arrive."""
+        """Deliver bytes."""
         self.on_data(self, data)
 
     def peer_ends(self, *, reset: bool = False) -> None:
-        """Let the other end close, in order or by a reset."""
-        self.ended = not reset
+        """Close the peer's end, in an orderly way or by a reset."""
+        self.eof_received = not reset
         self.close()
 
 
 class Transport:
-    """Hands out streams."""
+    """A fake transport that creates fake streams."""
 
     def __init__(self) -> None:
         self.streams: list[Stream] = []
 
     def connect(self, address: str, on_open: typing.Any) -> Stream:
-        """Open a stream that is there at once."""
+        """Return a stream that is connected at once."""
         stream = Stream()
         stream.on_open = on_open
         self.streams.append(stream)
@@ -87,21 +87,21 @@
 
 
 class Owner:
-    """Keeps what the pools tell."""
+    """Records what the pools report."""
 
     def __init__(self) -> None:
         self.answers: list[messages.Answer] = []
         self.broken: list[int] = []
 
     def target_answered(self, answer: messages.Answer) -> None:
-        """Keep an answer."""
+        """Record an answer."""
         self.answers.append(answer)
 
     def target_unsent(self, request_id: int) -> None:
         """Ignore."""
 
-    def target_broke(self, request_id: int) -> None:
-        """Keep a broken request."""
+    def target_disconnected(self, request_id: int) -> None:
+        """Record a broken request."""
         self.broken.append(request_id)
 
     def target_checked(self, target: str, accepts: bool) -> None:
@@ -109,7 +109,7 @@
 
 
 class Target:
-    """A target's connections as the pools open them."""
+    """The pools of a proxy, with a fake target."""
 
     def __init__(self) -> None:
         self.transport = Transport()
@@ -143,9 +143,9 @@
         return self.pools.busy[request_id].stream
 
 
-def answer(caller_id: str, body: str, more: str = "") -> bytes:
-    """Return a target's answer."""
-    head = f"HTTP/1.1 200 OK\r\nCall-Id: {caller_id}\r\n{more}"
+def answer(caller_id: str, body: str, extra_headers: str = "") -> bytes:
+    """Return a target's answer as bytes."""
+    head = f"HTTP/1.1 200 OK\r\nCall-Id: {caller_id}\r\n{extra_headers}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n{body}".encode()
 
 
@@ -157,10 +157,10 @@
 
 
 def test_an_answer_to_another_request_is_dropped() -> None:
-    """A target answers twice; the second comes with the next request.
+    """A target answers twice and the duplicate follows the next request.
 
-    It stands where the next answer is expected. Passed on, a caller would
-    get somebody else's booking.
+    It arrives where the next answer is expected. Passed on, it would give one
+    caller's data to another.
     """
     target = Target()
     stream = target.send(1, "first")
@@ -170,7 +170,7 @@
     assert [a.body for a in target.owner.answers] == [b"one", b"two"]
 
 
-def test_bytes_after_an_answer_end_the_connection() -> None:
+def test_bytes_after_an_answer_close_the_connection() -> None:
     target = Target()
     stream = target.send(1, "first")
     stream.peer_sends(answer("first", "one") + answer("first", "one"))
@@ -179,10 +179,10 @@
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_body_without_a_length_ends_in_order_or_not_at_all(
+def test_a_body_without_a_length_needs_an_orderly_close(
     reset: bool,
 ) -> None:
-    """A reset may have swallowed the rest of the body."""
+    """After a reset, the rest of the body may be lost."""
     target = Target()
     stream = target.send(1, "x")
     stream.peer_sends(b"HTTP/1.1 200 OK\r\nCall-Id: x\r\n\r\nhalf")
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "idle_ms", "kept"),
+    ("line", "idle_ms", "stays_open"),
     [
         ("Keep-Alive: timeout=3\r\n", 1900, True),
         ("Keep-Alive: timeout=3\r\n", 2100, False),
@@ -203,31 +203,31 @@
         ("", 5100, False),
     ],
 )
-def test_idle_connections_are_kept_as_long_as_the_target_says(
-    line: str, idle_ms: int, kept: bool
+def test_idle_connections_follow_the_targets_keep_alive(
+    line: str, idle_ms: int, stays_open: bool
 ) -> None:
-    """A request on a connection that its target just closed is lost."""
+    """A request on a connection that its target is closing is lost."""
     target = Target()
     stream = target.send(1, "x")
     stream.peer_sends(answer("x", "one", line))
     target.clock.advance(idle_ms)
     target.pools.tick()
-    assert stream.closed is not kept
+    assert stream.closed is not stays_open
 
 
-def answer_short_ones(target: Target, route: str) -> None:
-    """Let ten requests of 30 ms run, one after the other."""
+def run_short_requests(target: Target, route: str) -> None:
+    """Run ten requests of 30 ms one after the other."""
     for number in range(100, 110):
         stream = target.send(number, str(number), route)
         target.clock.advance(30)
         stream.peer_sends(answer(str(number), "short"))
 
 
-def test_a_long_request_beside_short_ones_is_not_broken_off() -> None:
-    """An upload's caller got a 502 while its target was at work on it."""
+def test_a_long_request_beside_short_ones_is_not_aborted() -> None:
+    """A caller got a 502 for an upload that its target was still running."""
     target = Target()
     stream = target.send(1, "upload", "uploads")
-    answer_short_ones(target, "checks")
+    run_short_requests(target, "checks")
     target.clock.advance(400)
     target.pools.tick()
     assert not stream.closed
@@ -235,11 +235,11 @@
     assert target.owner.answers[-1].body == b"kept"
 
 
-def test_a_silent_connection_is_given_up_beside_others_of_its_route() -> None:
-    """A caller waited to its deadline for a connection that was forgotten."""
+def test_a_silent_connection_of_a_fast_route_is_closed() -> None:
+    """A caller waited until its deadline for a silent connection."""
     target = Target()
     stream = target.send(1, "lost", "checks")
-    answer_short_ones(target, "checks")
+    run_short_requests(target, "checks")
     target.clock.advance(400)
     target.pools.tick()
     assert stream.closed
@@ -247,7 +247,7 @@
 
 
 class Process:
-    """Keeps calls."""
+    """Records calls."""
 
     ready = True
 
@@ -255,10 +255,10 @@
         self.calls: list[calls.Call] = []
 
     def call(self, call: calls.Call) -> None:
-        """Keep a call."""
+        """Record a call."""
         self.calls.append(call)
 
-    def caller_gone(self, call_id: int) -> None:
+    def caller_disconnected(self, call_id: int) -> None:
         """Ignore."""
 
 
@@ -266,7 +266,9 @@
     """A caller's connection to a server."""
 
     def __init__(
-        self, handler: http_server.Handler, limits: http_server.SenderLimits
+        self,
+        handler: http_server.Handler,
+        limits: http_server.ConnectionLimits,
     ) -> None:
         self.clock = clocks.PausedClock()
         self.server = http_server.HttpServer(
@@ -274,17 +276,17 @@
             handler,
             self.clock,
             limits=limits,
-            bad=lambda why: None,
+            malformed=lambda why: None,
         )
         self.stream = Stream()
-        self.server._accepted(typing.cast(transports.Stream, self.stream))
+        self.server._on_accept(typing.cast(transports.Stream, self.stream))
 
 
-def test_the_callers_service_is_stamped() -> None:
-    """A caller can't name itself as another service."""
+def test_the_callers_service_is_set_by_the_proxy() -> None:
+    """A caller cannot claim to be another service."""
     process = Process()
-    gate = gateway.Gateway(process, DIALECT, "tables")
-    caller = Caller(gate, http_server.SenderLimits())
+    caller_gateway = gateway.Gateway(process, DIALECT, "tables")
+    caller = Caller(caller_gateway, http_server.ConnectionLimits())
     caller.stream.peer_sends(
         b"GET /a HTTP/1.1\r\nHost: h\r\nCaller: bank\r\nCall-Id: 7\r\n"
         b"Time-Left: 900\r\n\r\n"
@@ -296,13 +298,15 @@
     assert (call.caller_id, call.deadline_ms) == ("7", 900)
 
 
-def test_when_to_come_back_has_fractions() -> None:
+def test_retry_after_has_fractions() -> None:
     process = Process()
-    gate = gateway.Gateway(process, DIALECT)
-    caller = Caller(gate, http_server.SenderLimits())
+    caller_gateway = gateway.Gateway(process, DIALECT)
+    caller = Caller(caller_gateway, http_server.ConnectionLimits())
     caller.stream.peer_sends(b"GET /a HTTP/1.1\r\nHost: h\r\n\r\n")
     (call,) = process.calls
-    gate.finish(calls.Final(call.call_id, 503, "full", retry_after_ms=120))
+    caller_gateway.finish(
+        calls.Final(call.call_id, 503, "full", retry_after_ms=120)
+    )
     assert b"Retry-After: 0.120\r\n" in caller.stream.sent
 
 
@@ -311,19 +315,21 @@
     for ready, status in ((True, b"200"), (False, b"503")):
         process.ready = ready
         caller = Caller(
-            readiness.Readiness(process), http_server.SenderLimits()
+            readiness.Readiness(process), http_server.ConnectionLimits()
         )
         caller.stream.peer_sends(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
         assert caller.stream.sent.startswith(b"HTTP/1.1 " + status)
 
 
 def test_a_trickled_head_and_an_idle_connection_are_closed() -> None:
-    limits = http_server.SenderLimits(head_ms=3000, idle_ms=15_000)
-    for first, closes_ms in ((b"GET /a HT", 3001), (b"", 15_001)):
+    limits = http_server.ConnectionLimits(
+        receive_timeout_ms=3000, idle_ms=15_000
+    )
+    for received, timeout_ms in ((b"GET /a HT", 3001), (b"", 15_001)):
         caller = Caller(gateway.Gateway(Process()), limits)
-        if first:
-            caller.stream.peer_sends(first)
-        caller.clock.advance(closes_ms - 1)
+        if received:
+            caller.stream.peer_sends(received)
+        caller.clock.advance(timeout_ms - 1)
         caller.server.tick()
         assert not caller.stream.closed
         caller.clock.advance(2)
@@ -332,36 +338,36 @@
 
 
 def test_a_head_beyond_the_configured_limit_is_refused() -> None:
-    limits = http_server.SenderLimits(max_head=200)
+    limits = http_server.ConnectionLimits(max_head=200)
     caller = Caller(gateway.Gateway(Process()), limits)
     caller.stream.peer_sends(b"GET /a HTTP/1.1\r\nX: " + b"y" * 300)
     assert caller.stream.sent.startswith(b"HTTP/1.1 431")
 
 
-def test_a_body_longer_than_the_reader_takes() -> None:
+def test_a_body_beyond_the_limit_is_refused() -> None:
     reader = _http.MessageReader(_http.REQUEST, 10)
     with pytest.raises(Exception, match="too large"):
         reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n")
 
 
 class Engine:
-    """What a page of metrics asks of a process."""
+    """A process with fixed metrics."""
 
     def gauges(self) -> dict[str, float]:
-        """Return what is true now."""
+        """Return one gauge."""
         return {"up": 1}
 
     def families(self) -> list[exposition.Family]:
         """Return a counter with two labels."""
-        found = exposition.Family(
-            "repeats", "Repeats", ["service", "cause"], counts=True
+        repeats = exposition.Family(
+            "repeats", "Repeats", ["service", "cause"], is_counter=True
         )
-        found.add(2, service="s", cause="lost")
-        return [found]
+        repeats.add(2, service="s", cause="lost")
+        return [repeats]
 
 
-def test_metrics_are_read_as_text() -> None:
-    """Counters keep growing after they went to statsd."""
+def test_metrics_are_served_in_prometheus_format() -> None:
+    """Totals are not reset when the counters are sent to statsd."""
     metrics = metric_store.Metrics("p")
     metrics.count("answers.own.503", 2)
     metrics.flush()
@@ -370,7 +376,7 @@
     page = exposition.Exposition(
         metrics, {"Heartbeat": 7}, {"Heartbeat": 3}, Engine()
     )
-    caller = Caller(page, http_server.SenderLimits())
+    caller = Caller(page, http_server.ConnectionLimits())
     caller.stream.peer_sends(b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n")
     text = caller.stream.sent.decode()
     assert 'trefoilroute_events_total{event="answers.own.503"} 3.0' in text
@@ -389,9 +395,10 @@
 
 @pytest.mark.parametrize("cut", range(70, len(CHUNKED)))
 def test_a_chunked_answer_keeps_its_connection(cut: int) -> None:
-    """It may come cut at any byte, between a chunk and its line end too.
+    """The answer may be split at any byte, even before a chunk's line end.
 
-    Closed after each such answer, one connection in five was a new one.
+    Connections were closed after such answers; one in five had to be
+    opened anew.
     """
     target = Target()
     stream = target.send(1, "x")
@@ -402,7 +409,7 @@
     assert target.send(2, "y") is stream
 
 
-def test_a_chunked_answer_that_breaks_off_is_not_whole() -> None:
+def test_a_truncated_chunked_answer_is_not_passed_on() -> None:
     target = Target()
     stream = target.send(1, "x")
     stream.peer_sends(CHUNKED[:-5])
@@ -411,7 +418,7 @@
     assert target.owner.answers == []
 
 
-def test_bytes_after_a_chunked_answer_end_the_connection() -> None:
+def test_bytes_after_a_chunked_answer_close_the_connection() -> None:
     target = Target()
     stream = target.send(1, "x")
     stream.peer_sends(CHUNKED + b"HTTP/1.1 200 OK\r\n")
@@ -419,19 +426,19 @@
     assert [a.body for a in target.owner.answers] == [b"onetwo!"]
 
 
-class Asker:
-    """Keeps what health checks tell."""
+class HealthOwner:
+    """Records what health checks report."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, int]] = []
+        self.reported: list[tuple[str, int]] = []
 
     def target_warmup(self, target: str, left_ms: int) -> None:
-        """Keep how long a target stays cold."""
-        self.told.append((target, left_ms))
+        """Record a target's remaining warm-up time."""
+        self.reported.append((target, left_ms))
 
 
 @pytest.mark.parametrize(
-    ("came", "told"),
+    ("response_head", "reported"),
     [
         (b"HTTP/1.1 200 OK\r\nWarm-In: 1800\r\n", [("t1", 1800)]),
         (b"HTTP/1.1 503 Ill\r\nWarm-In: 0\r\n", [("t1", 0)]),
@@ -440,14 +447,14 @@
         (b"garbage\r\n", []),
     ],
 )
-def test_a_target_tells_how_long_it_stays_cold(
-    came: bytes, told: list[tuple[str, int]]
+def test_a_health_check_reports_the_remaining_warmup(
+    response_head: bytes, reported: list[tuple[str, int]]
 ) -> None:
-    """What it does not tell leaves its proxy with what it presumed."""
-    transport, asker = Transport(), Asker()
+    """Without a valid value, the proxy keeps its own assumption."""
+    transport, owner = Transport(), HealthOwner()
     checks = health.HealthChecks(
         typing.cast(transports.Transport, transport),
-        asker,
+        owner,
         ip="10.0.0.1",
         dialect=dialects.Dialect(warmup_left=b"Warm-In"),
     )
@@ -456,6 +463,6 @@
     stream.on_open(stream)
     assert stream.sent.startswith(b"GET /health HTTP/1.1\r\nHost: 10.0.0.1")
     stream.on_close = lambda stream: None
-    stream.peer_sends(came + b"Content-Length: 0\r\n\r\n")
-    assert asker.told == told
+    stream.peer_sends(response_head + b"Content-Length: 0\r\n\r\n")
+    assert owner.reported == reported
     assert stream.closed
--- a/libs/daemon/tests/test_http.py
+++ b/libs/daemon/tests/test_http.py
@@ -1,4 +1,4 @@
-"""HTTP messages cut out of a byte stream, and what is refused."""
+"""Tests of the HTTP message reader: valid and malformed input."""
 
 import pytest
 
@@ -13,42 +13,42 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 17, 4000])
-def test_pieces_make_the_same_message(size: int) -> None:
+def test_split_input_gives_the_same_message(size: int) -> None:
     data = (
         b"POST /a?b=c HTTP/1.1\r\nHost: x\r\nX-Odd: a\\nb \xe9\r\n"
         b"Set: 1\r\nSet: 2\r\nConnection: close, X-Hop\r\nX-Hop: y\r\n"
         b"Content-Length: 5\r\n\r\nhello"
     )
-    cutter = reader()
-    found = [
+    message_reader = reader()
+    messages = [
         message
         for start in range(0, len(data), size)
-        if (message := cutter.feed(data[start : start + size]))
+        if (message := message_reader.feed(data[start : start + size]))
     ]
-    (message,) = found
+    (message,) = messages
     assert (message.method, message.path) == ("POST", "/a?b=c")
     assert message.body == b"hello"
     assert not message.keep_alive
-    # Header values go through untouched, hop-by-hop ones stay behind.
+    # Header lines are unchanged; hop-by-hop headers are removed.
     assert message.headers == (
         b"Host: x\r\nX-Odd: a\\nb \xe9\r\nSet: 1\r\nSet: 2\r\n"
     )
 
 
-def test_requests_that_follow_at_once_are_kept_apart() -> None:
-    cutter = reader()
-    one = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
-    first = cutter.feed(one + one.replace(b"ab", b"cd"))
-    second = cutter.next()
+def test_pipelined_requests_are_separated() -> None:
+    message_reader = reader()
+    request = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"
+    first = message_reader.feed(request + request.replace(b"ab", b"cd"))
+    second = message_reader.next()
     assert (first.body, second.body) == (b"ab", b"cd")
-    assert cutter.next() is None
+    assert message_reader.next() is None
 
 
 def test_chunks_are_joined() -> None:
-    cutter = reader()
+    message_reader = reader()
     head = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-    assert cutter.feed(head + b"3\r\nabc\r\n") is None
-    message = cutter.feed(b"2\r\nde\r\n0\r\n\r\n")
+    assert message_reader.feed(head + b"3\r\nabc\r\n") is None
+    message = message_reader.feed(b"2\r\nde\r\n0\r\n\r\n")
     assert message.body == b"abcde"
 
 
@@ -98,36 +98,38 @@
 def test_malformed_requests_are_refused(
     case: str, data: bytes, status: int
 ) -> None:
-    with pytest.raises(errors.ProtocolError) as found:
+    with pytest.raises(errors.ProtocolError) as raised:
         reader().feed(data)
-    assert found.value.status == status
+    assert raised.value.status == status
 
 
 def test_endless_chunks_are_refused() -> None:
-    cutter = reader()
-    cutter.feed(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n")
+    message_reader = reader()
+    message_reader.feed(
+        b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+    )
     with pytest.raises(errors.ProtocolError):
         for _ in range(3000):
-            cutter.feed(b"40\r\n" + b"a" * 64 + b"\r\n")
+            message_reader.feed(b"40\r\n" + b"a" * 64 + b"\r\n")
 
 
-def test_an_answer_that_is_cut_is_never_whole() -> None:
-    """A target breaks off in the middle of an answer of known length."""
-    cutter = reader(_http.RESPONSE)
+def test_a_truncated_answer_is_never_complete() -> None:
+    """A target closes the connection in the middle of its answer."""
+    message_reader = reader(_http.RESPONSE)
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
-    assert cutter.feed(head + b"12345") is None
-    assert cutter.end() is None
+    assert message_reader.feed(head + b"12345") is None
+    assert message_reader.feed_eof() is None
 
 
 def test_an_answer_without_a_length_ends_with_its_connection() -> None:
-    cutter = reader(_http.RESPONSE)
-    assert cutter.feed(b"HTTP/1.1 200 OK\r\n\r\nabc") is None
-    message = cutter.end()
+    message_reader = reader(_http.RESPONSE)
+    assert message_reader.feed(b"HTTP/1.1 200 OK\r\n\r\nabc") is None
+    message = message_reader.feed_eof()
     assert (message.body, message.keep_alive) == (b"abc", False)
 
 
 @pytest.mark.parametrize("status", [204, 304])
 def test_answers_without_a_body(status: int) -> None:
-    cutter = reader(_http.RESPONSE)
+    message_reader = reader(_http.RESPONSE)
     data = f"HTTP/1.1 {status} x\r\nContent-Length: 7\r\n\r\n".encode()
-    assert cutter.feed(data).body == b""
+    assert message_reader.feed(data).body == b""
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -1,7 +1,8 @@
-"""Whole proxies driven through the facade, without a socket.
+"""Tests of complete proxy engines, driven through the facade.
 
-Four proxies, each with one target, are joined by links that lose, cross and
-repeat nothing within a connection but break at any time, as TCP does.
+Four proxies, each with one target, are connected by simulated links. As with
+TCP, a connection delivers its messages in order and without loss, but may
+break at any time.
 """
 
 import random
@@ -52,7 +53,7 @@
 
 
 class Carrier:
-    """Carries one proxy's effects into the net."""
+    """Carries out one proxy's effects in the simulated network."""
 
     def __init__(self, net: "Net", host: str) -> None:
         self.net = net
@@ -63,7 +64,7 @@
         self.notes: list[common.Note] = []
 
     def link_send(self, host: str, message: typing.Any) -> None:
-        """Drop fleet messages; only floods matter here."""
+        """Deliver crash notices; other fleet messages are dropped."""
         if isinstance(message, messages.CrashNotice):
             self.net.flood(self.host, host, message)
 
@@ -81,11 +82,11 @@
         return self.net.send(self.host, host, message)
 
     def reply(self, origin: str, message: typing.Any) -> None:
-        """Send back on the connection that a message came by."""
+        """Reply on the connection on which a message arrived."""
         self.net.send_back(self.host, origin, message)
 
     def finish(self, final: calls.Final) -> None:
-        """Keep a final answer; a call gets only one."""
+        """Record a final answer, and whether the call already had one."""
         self.doubled |= final.call_id in self.finals
         self.finals[final.call_id] = final
 
@@ -96,11 +97,11 @@
         self.net.runs[name] = self.net.runs.get(name, 0) + 1
 
     def abort(self, request_id: int) -> None:
-        """Close the connection under a request."""
+        """Abort a request on the target."""
         self.dispatched.pop(request_id, None)
 
     def check_target(self, effect: request_effects.CheckTarget) -> None:
-        """Tell that the target takes no connections: it crashed."""
+        """Report that the target accepts no connections: it crashed."""
         process = self.net.processes[self.host]
         process.target_checked(effect.target, False)
 
@@ -108,7 +109,7 @@
         """Ignore."""
 
     def note(self, note: common.Note) -> None:
-        """Keep a log line."""
+        """Record a log line."""
         self.notes.append(note)
 
     def count(self, count: common.Count) -> None:
@@ -119,7 +120,7 @@
 
 
 class Net:
-    """Proxies and the connections between them."""
+    """A simulated network of proxies and their targets."""
 
     def __init__(self, seed: int = 1, hosts: list[str] = HOSTS) -> None:
         self.rng = random.Random(seed)
@@ -135,15 +136,15 @@
         self.runs: dict[str, int] = {}
         self.cut: set[str] = set()
         self.call_ids = 0
-        self.lives = 0
+        self.boots = 0
         for host in hosts:
             self.boot(host)
 
     def boot(self, host: str) -> None:
-        """Start a proxy with an empty memory, its target announced."""
+        """Start a proxy without any state and announce its target."""
         self.break_host(host)
-        self.lives += 1
-        settings_made = setting_store.ProxySettings(
+        self.boots += 1
+        proxy_settings = setting_store.ProxySettings(
             host=host,
             domain=DOMAIN,
             region="r",
@@ -160,19 +161,19 @@
         )
         self.carriers[host] = Carrier(self, host)
         process = proxy_process.ProxyProcess(
-            settings_made,
+            proxy_settings,
             peers_address=f"{host}:1",
             carrier=self.carriers[host],
             clock=self.clock,
             rng=self.rng,
         )
         self.processes[host] = process
-        self.boot_target(host)
+        self.announce_target(host)
         process.node.config.in_force = self.items
         process.put_in_force(self.items)
 
-    def boot_target(self, host: str) -> None:
-        """Let a host's target announce itself."""
+    def announce_target(self, host: str) -> None:
+        """Announce a host's target."""
         record = messages.TargetRecord(
             f"t-{host}",
             "tables",
@@ -186,7 +187,7 @@
         self.share_records()
 
     def share_records(self) -> None:
-        """Let every proxy know every other's record."""
+        """Give every proxy the records of all others."""
         now_ms = self.clock.now_ms()
         for one in self.processes.values():
             for other in self.processes.values():
@@ -196,35 +197,37 @@
 
     # Connections
 
-    def send(self, source: str, target: str, message: typing.Any) -> bool:
+    def send(self, source: str, destination: str, message: typing.Any) -> bool:
         """Send on the connection from one proxy to another."""
-        if (source in self.cut) != (target in self.cut):
+        if (source in self.cut) != (destination in self.cut):
             return False
-        pair = (source, target)
+        pair = (source, destination)
         if pair not in self.connections:
             self.numbers += 1
             self.connections[pair] = self.numbers
         number = self.connections[pair]
         if isinstance(message, messages.Request):
             self.outstanding[message.request_id] = (source, number)
-        self.wire.append((source, target, number, False, message))
+        self.wire.append((source, destination, number, False, message))
         return True
 
     def send_back(self, host: str, origin: str, message: typing.Any) -> None:
-        """Answer on the connection that a message came by."""
+        """Reply on the connection on which a message arrived."""
         source, _, number = origin.partition("#")
         if self.connections.get((source, host)) == int(number):
             self.wire.append((host, source, int(number), True, message))
 
-    def flood(self, source: str, target: str, message: typing.Any) -> None:
-        """Deliver a fleet message at once."""
-        if (source in self.cut) == (target in self.cut):
-            self.processes[target].link_message(source, message)
+    def flood(
+        self, source: str, destination: str, message: typing.Any
+    ) -> None:
+        """Deliver a fleet message immediately."""
+        if (source in self.cut) == (destination in self.cut):
+            self.processes[destination].link_message(source, message)
 
     def break_pair(self, pair: tuple[str, str]) -> None:
-        """Break a connection; both ends learn of it."""
+        """Break a connection and notify both ends."""
         number = self.connections.pop(pair)
-        source, target = pair
+        source, destination = pair
         lost = [
             request_id
             for request_id, carried in self.outstanding.items()
@@ -232,44 +235,44 @@
         ]
         for request_id in lost:
             del self.outstanding[request_id]
-        if target in self.processes:
-            self.processes[target].origin_lost(f"{source}#{number}")
+        if destination in self.processes:
+            self.processes[destination].origin_lost(f"{source}#{number}")
         if source in self.processes and lost:
             self.processes[source].requests_lost([], lost)
 
     def break_host(self, host: str) -> None:
-        """Break all connections of a proxy that dies."""
+        """Remove a proxy and break all its connections."""
         self.processes.pop(host, None)
         for pair in [pair for pair in self.connections if host in pair]:
             self.break_pair(pair)
 
-    def deliver(self, at: int) -> None:
-        """Let the first message of some connection arrive."""
+    def deliver(self, index: int) -> None:
+        """Deliver the first message of one connection."""
         if not self.wire:
             return
-        chosen = self.wire[at % len(self.wire)]
-        first = next(w for w in self.wire if w[:4] == chosen[:4])
+        chosen = self.wire[index % len(self.wire)]
+        first = next(sent for sent in self.wire if sent[:4] == chosen[:4])
         self.wire.remove(first)
-        source, target, number, back, message = first
-        pair = (target, source) if back else (source, target)
+        source, destination, number, back, message = first
+        pair = (destination, source) if back else (source, destination)
         if self.connections.get(pair) != number:
             return
-        if (source in self.cut) != (target in self.cut):
+        if (source in self.cut) != (destination in self.cut):
             return
         if isinstance(message, messages.Answer):
             self.outstanding.pop(message.request_id, None)
         origin = f"{source}#{number}"
-        self.processes[target].request_message(origin, message)
+        self.processes[destination].request_message(origin, message)
 
     def settle(self) -> None:
-        """Deliver everything."""
+        """Deliver all messages."""
         for _ in range(500):
             if not self.wire:
                 return
             self.deliver(0)
 
     def advance(self, by_ms: int) -> None:
-        """Let time pass for all proxies."""
+        """Advance the clock and tick all proxies."""
         self.clock.advance(by_ms)
         for process in list(self.processes.values()):
             process.tick()
@@ -277,7 +280,7 @@
     # Callers and targets
 
     def call(self, host: str, path: str, name: str, key: str = "") -> int:
-        """Send a caller's request; return its number."""
+        """Send a caller's request; return its call id."""
         self.call_ids += 1
         self.processes[host].call(
             calls.Call(
@@ -286,8 +289,8 @@
         )
         return self.call_ids
 
-    def let_repeat(self, host: str) -> None:
-        """Give a proxy some repeats; a start has saved none."""
+    def add_retry_tokens(self, host: str) -> None:
+        """Fill a proxy's retry budget, which is empty after its start."""
         self.processes[host].entry.accounting.budgets["tables"].tokens = 5.0
 
     def final(self, host: str, call_id: int) -> calls.Final | None:
@@ -295,7 +298,7 @@
         return self.carriers[host].finals.get(call_id)
 
     def running(self) -> list[tuple[str, int]]:
-        """Return what runs on targets, by host and request."""
+        """Return the host and id of each request running on a target."""
         return [
             (host, request_id)
             for host, carrier in self.carriers.items()
@@ -303,7 +306,7 @@
         ]
 
     def target_answers(self, host: str, request_id: int) -> None:
-        """Let a target answer."""
+        """Answer a request at its target."""
         effect = self.carriers[host].dispatched.pop(request_id)
         self.processes[host].target_answered(
             messages.Answer(
@@ -317,12 +320,12 @@
         )
 
     def target_breaks(self, host: str, request_id: int) -> None:
-        """Let a target's connection break under a request."""
+        """Break a target's connection during a request."""
         self.carriers[host].dispatched.pop(request_id)
-        self.processes[host].target_broke(request_id)
+        self.processes[host].target_disconnected(request_id)
 
     def fresh_key(self, name: str) -> str:
-        """Return a key that tells when it was issued."""
+        """Return a key that contains its time of issue."""
         return f"{self.clock.wall_ms() + 2 * ledgers.MAX_CLOCK_SKEW_MS}-{name}"
 
 
@@ -337,8 +340,8 @@
     assert (final.status, final.body, final.own) == (200, b"a", False)
 
 
-def test_answers_that_cross_reach_their_own_callers() -> None:
-    """Twelve callers ask at once; targets answer in any order."""
+def test_out_of_order_answers_reach_their_callers() -> None:
+    """Several calls run at once and their targets answer in any order."""
     net = Net()
     numbers = {net.call("h1", "/read", f"n{n}"): f"n{n}" for n in range(7)}
     net.settle()
@@ -353,7 +356,7 @@
 
 
 def test_a_late_answer_is_dropped() -> None:
-    """The deadline passes, the caller is told, then the answer comes."""
+    """The deadline passes, the caller gets a 504, then the answer arrives."""
     net = Net()
     number = net.call("h1", "/pay", "a")
     net.settle()
@@ -372,19 +375,19 @@
 @pytest.mark.parametrize(
     ("path", "expected_runs", "status"), [("/read", 2, 200), ("/pay", 1, 502)]
 )
-def test_a_lost_host_is_retried_only_where_that_is_safe(
+def test_a_lost_request_is_retried_only_if_repeatable(
     path: str, expected_runs: int, status: int
 ) -> None:
-    """The link to the target's host breaks with the request on it.
+    """The link to the target's host breaks during a request.
 
-    Nobody knows whether it ran. A route that may be repeated goes to
-    another target; a once-only one is answered so, at once.
+    Whether the request ran is unknown. On a repeatable route it is retried at
+    another target; on a once-only route the caller gets an error immediately.
     """
     net = Net()
-    # The entry's own target is drained so that the request must travel.
-    net.processes["h1"].target_leaves("t-h1", "test")
+    # Without a local target, the request is sent to another host.
+    net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
-    net.let_repeat("h1")
+    net.add_retry_tokens("h1")
     number = net.call("h1", path, "a")
     net.settle()
     ((host, _),) = net.running()
@@ -397,12 +400,12 @@
     assert net.final("h1", number).status == status
 
 
-def test_a_callers_cancel_frees_the_slot() -> None:
+def test_a_disconnected_caller_frees_the_slot() -> None:
     net = Net()
     number = net.call("h1", "/pay", "a")
     net.settle()
     ((host, _),) = net.running()
-    net.processes["h1"].caller_gone(number)
+    net.processes["h1"].caller_disconnected(number)
     net.settle()
     assert net.running() == []
     assert net.processes[host].targets.busy(f"t-{host}") == 0
@@ -410,7 +413,7 @@
 
 def test_a_dead_entry_proxy_frees_its_slots() -> None:
     net = Net()
-    net.processes["h1"].target_leaves("t-h1", "test")
+    net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
     net.call("h1", "/read", "a")
     net.settle()
@@ -419,8 +422,8 @@
     assert net.processes[host].targets.busy(f"t-{host}") == 0
 
 
-def test_a_resend_by_another_proxy_gets_the_first_answer() -> None:
-    """The caller's answer is lost; it sends again through another proxy."""
+def test_a_resend_through_another_proxy_gets_the_first_answer() -> None:
+    """A caller loses its answer and resends through another proxy."""
     net = Net()
     key = net.fresh_key("k")
     net.call("h1", "/pay", "a", key)
@@ -428,29 +431,29 @@
     ((host, request_id),) = net.running()
     net.target_answers(host, request_id)
     net.settle()
-    again = net.call("h2", "/pay", "a", key)
+    resend = net.call("h2", "/pay", "a", key)
     net.settle()
     assert net.runs["a"] == 1
-    final = net.final("h2", again)
+    final = net.final("h2", resend)
     assert (final.status, final.body) == (200, b"a")
 
 
-def test_a_resend_while_the_first_runs_is_told_so() -> None:
+def test_a_resend_of_a_running_request_is_a_conflict() -> None:
     net = Net()
     key = net.fresh_key("k")
     net.call("h1", "/pay", "a", key)
     net.settle()
-    again = net.call("h2", "/pay", "a", key)
+    resend = net.call("h2", "/pay", "a", key)
     net.settle()
     assert net.runs["a"] == 1
-    assert net.final("h2", again).status == 409
+    assert net.final("h2", resend).status == 409
 
 
-def test_a_key_whose_fate_cannot_be_known_is_refused() -> None:
-    """Two of a key's three keepers restart, then the caller sends again.
+def test_a_key_with_an_unknown_outcome_is_refused() -> None:
+    """Two of a key's three replicas restart, then the caller resends.
 
-    The first may have run under a claim that they forgot. They abstain, so
-    the resend is refused and says why; it does not run.
+    The first request may have run under a claim that they lost. They
+    abstain, so the resend is refused with a reason and does not run.
     """
     net = Net(hosts=["h1", "h2", "h3"])
     key = net.fresh_key("k")
@@ -459,20 +462,20 @@
     net.clock.advance(60_000)
     for host in ("h1", "h2"):
         net.boot(host)
-    for number in ("h1", "h2", "h3"):
-        again = net.call(number, "/pay", "a", key)
+    for entry in ("h1", "h2", "h3"):
+        resend = net.call(entry, "/pay", "a", key)
         net.settle()
         net.advance(500)
         net.settle()
-        assert net.final(number, again).status in (409, 503)
+        assert net.final(entry, resend).status in (409, 503)
     assert net.runs["a"] == 1
 
 
-def test_a_keeper_that_restarts_gets_its_keys_back() -> None:
-    """Keepers restart one after the other, as in a rolling restart.
+def test_a_restarted_replica_recovers_its_keys() -> None:
+    """A key's replicas restart one after the other, as in a rolling restart.
 
-    Each pulls what the others hold before it vouches again, so a resend
-    is known even when every keeper has restarted since.
+    Each one copies the keys of the others before it confirms claims again, so
+    a resend is recognized even after every replica has restarted.
     """
     net = Net(hosts=["h1", "h2", "h3"])
     net.advance(ledgers.RETENTION_MS)
@@ -487,18 +490,18 @@
         for _ in range(4):
             net.advance(500)
             net.settle()
-    again = net.call("h2", "/pay", "a", key)
+    resend = net.call("h2", "/pay", "a", key)
     net.settle()
-    assert net.final("h2", again).body == b"a"
+    assert net.final("h2", resend).body == b"a"
     net.call("h2", "/pay", "b", "another")
     net.settle()
     assert net.runs == {"a": 1, "b": 1}
 
 
-def test_a_refused_claim_can_be_sent_again() -> None:
-    """The target's proxy refuses; the request did not run.
+def test_a_refused_request_releases_its_claim() -> None:
+    """The target's proxy refuses a request, so it did not run.
 
-    The key is given back, else the caller's resend would be told "ran".
+    Its key is released. Otherwise a resend would be answered as already run.
     """
     net = Net()
     for process in net.processes.values():
@@ -515,11 +518,10 @@
     assert net.runs == {"a": 1}
 
 
-def test_a_request_that_crashes_targets_is_refused_after_the_second() -> None:
-    """A caller sends a poison request again and again.
+def test_a_request_is_quarantined_after_two_crashes() -> None:
+    """A caller repeats a request that crashes every target that runs it.
 
-    Each target that runs it dies. After the second crash no proxy lets it
-    near a third target, whichever proxy it comes through.
+    After the second crash, every proxy refuses the request.
     """
     net = Net()
     for host in HOSTS:
@@ -541,30 +543,30 @@
     assert statuses == [502, 502, 422, 422]
 
 
-def test_innocent_requests_are_cleared_by_success() -> None:
-    """A common request happens to run in two crashes.
+def test_success_clears_a_suspected_request() -> None:
+    """A common request happens to be running in two crashes.
 
-    It succeeds elsewhere in between, which clears it.
+    A success elsewhere in between clears it.
     """
     net = Net()
     process = net.processes["h1"]
     now_ms = net.clock.now_ms()
     call = calls.Call(9, "POST", "x", "/read", body=b"a")
-    prints = [call.fingerprint(), 1]
-    first = messages.CrashNotice(1, prints, 0, False)
+    fingerprints = [call.fingerprint(), 1]
+    first = messages.CrashNotice(1, fingerprints, 0, False)
     process.quarantine.receive(first, now_ms)
     net.call("h1", "/read", "a")
     net.settle()
     for host, request_id in net.running():
         net.target_answers(host, request_id)
     net.settle()
-    second = messages.CrashNotice(2, prints, 0, False)
+    second = messages.CrashNotice(2, fingerprints, 0, False)
     process.quarantine.receive(second, now_ms)
     assert not process.quarantine.refuses(call.fingerprint(), now_ms)
     assert process.quarantine.refuses(1, now_ms)
 
 
-def test_no_route_leads_to_a_resource_that_no_target_holds() -> None:
+def test_no_route_uses_a_resource_without_targets() -> None:
     net = Net(hosts=["h1", "h2"])
     for host in ("h1", "h2"):
         record = messages.TargetRecord(
@@ -584,11 +586,11 @@
     assert (final.status, final.ran, net.runs) == (503, False, {})
 
 
-def test_a_dead_target_leaves_before_its_lease() -> None:
-    """A target dies; connections to it are refused, its lease runs on.
+def test_a_dead_target_is_dropped_before_its_lease_expires() -> None:
+    """A dead target refuses connections while its lease is still valid.
 
-    Requests led to it meanwhile spend the retry budget and callers see
-    refusals though other targets are free.
+    Requests sent to it would spend the retry budget, and callers would see
+    refusals although other targets are free.
     """
     net = Net(hosts=["h1", "h2"])
     for n in range(40):
@@ -610,14 +612,14 @@
     assert net.processes["h1"].announced.records() == []
 
 
-def test_a_crossed_update_never_runs_on_the_wrong_version() -> None:
+def test_an_outdated_entry_never_runs_the_wrong_version() -> None:
     """A target is replaced by another version under the same name.
 
-    The entry proxy has not heard of it yet. The target's own proxy has the
-    last word: it refuses, and the request goes where its version is.
+    The entry proxy does not know it yet. The target's proxy checks the
+    version and refuses, and the request goes to a target of its version.
     """
     net = Net(hosts=["h1", "h2", "h3"])
-    net.processes["h1"].target_leaves("t-h1", "test")
+    net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
     record = messages.TargetRecord(
         "t-h2", "tables", "v2", ["pay"], 2, messages.TargetState.READY
@@ -629,17 +631,17 @@
     assert {host for host, _ in net.running()} == {"h3"}
 
 
-def test_a_leaving_proxy_cuts_nothing_and_takes_nothing() -> None:
-    """SIGTERM comes while a payment runs.
+def test_a_leaving_proxy_finishes_calls_and_accepts_none() -> None:
+    """A proxy is stopped while a payment runs.
 
-    The payment ends with its answer; a new request is told "not run".
+    The payment is answered; a new request is refused as not run.
     """
     net = Net(hosts=["h1", "h2"])
     number = net.call("h1", "/pay", "a")
     net.settle()
     net.processes["h1"].leave()
-    late = net.call("h1", "/pay", "b")
-    assert net.final("h1", late).ran is False
+    refused_id = net.call("h1", "/pay", "b")
+    assert net.final("h1", refused_id).ran is False
     assert not net.processes["h1"].idle
     ((host, request_id),) = net.running()
     net.target_answers(host, request_id)
@@ -651,9 +653,9 @@
 LARGE = b"x" * 40_000
 
 
-def uploads(net: Net, path: str = "/pay") -> int:
-    """Let h1's caller send a large body; only h2 has a target."""
-    net.processes["h1"].target_leaves("t-h1", "test")
+def start_upload(net: Net, path: str = "/pay") -> int:
+    """Send a large body through h1, which has no target of its own."""
+    net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
     net.call_ids += 1
     call = calls.Call(
@@ -663,10 +665,10 @@
     return net.call_ids
 
 
-def test_a_large_body_follows_when_it_is_asked_for() -> None:
-    """The target's proxy takes the request first, then the body comes."""
+def test_a_large_body_is_sent_on_request() -> None:
+    """The target's proxy accepts the request, then requests the body."""
     net = Net(hosts=["h1", "h2"])
-    number = uploads(net)
+    number = start_upload(net)
     net.settle()
     ((host, request_id),) = net.running()
     effect = net.carriers[host].dispatched[request_id]
@@ -676,20 +678,20 @@
     assert net.final("h1", number).status == 200
 
 
-def no_piece(
+def send_no_chunk(
     entry: entries.Entry, pull: messages.BodyPull
 ) -> list[typing.Any]:
-    """Send nothing."""
+    """Send no chunk of the body."""
     return []
 
 
 def test_both_attempts_of_a_hedged_call_get_its_body() -> None:
-    """A read with a large body is asked for at two hosts at once."""
+    """A read with a large body runs at two hosts at once."""
     net = Net(hosts=["h1", "h2", "h3"])
-    uploads(net, "/read")
+    start_upload(net, "/read")
     net.settle()
     ((first, _),) = net.running()
-    net.let_repeat("h1")
+    net.add_retry_tokens("h1")
     net.processes["h1"].peer_doubted(first, True)
     net.settle()
     bodies = {
@@ -700,40 +702,40 @@
     assert bodies == {"h2": LARGE, "h3": LARGE}
 
 
-def test_a_body_goes_where_the_link_is_free() -> None:
-    """The link to one host is taken for longer than the caller waits.
+def test_a_body_is_sent_to_a_host_with_a_free_link() -> None:
+    """The link to one host is busy for longer than the caller waits.
 
-    It says so before a byte of the body is sent, and the request goes to
-    the next host; the one after it goes there at once.
+    The host refuses before any of the body is sent and the request goes to
+    another host, as the next request does immediately.
     """
     net = Net(hosts=["h1", "h2", "h3"])
     incoming_bodies = net.processes["h2"].targets.incoming_bodies
     incoming_bodies.add(99, "x", 10_000_000, 0, net.clock.now_ms())
     incoming_bodies.bytes_per_ms = 700
-    net.processes["h3"].target_leaves("t-h3", "test")
-    number = uploads(net)
-    net.boot_target("h3")
+    net.processes["h3"].drop_target("t-h3", "test")
+    number = start_upload(net)
+    net.announce_target("h3")
     net.settle()
     assert [host for host, _ in net.running()] == ["h3"]
     target_stats = net.processes["h1"].entry.balancer.target_stats("h2/t-h2")
     assert target_stats.bodies_busy_until_ms > net.clock.now_ms() + 10_000
-    uploads(net)
+    start_upload(net)
     net.settle()
     assert [host for host, _ in net.running()] == ["h3", "h3"]
     assert number not in net.carriers["h1"].finals
 
 
-def test_a_body_that_never_comes_costs_no_run(
+def test_a_request_without_its_body_is_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The link breaks between the request and its body.
+    """The body of a request never arrives.
 
-    The request did not run: it never takes a slot, its place among the
-    bodies is given back, and the caller is told so in time.
+    The request does not run or take a slot, its entry among the incoming
+    bodies is removed, and the caller gets a refusal in time.
     """
-    monkeypatch.setattr(entries.Entry, "on_body_pull", no_piece)
+    monkeypatch.setattr(entries.Entry, "on_body_pull", send_no_chunk)
     net = Net(hosts=["h1", "h2"])
-    number = uploads(net)
+    number = start_upload(net)
     net.settle()
     assert net.running() == []
     targets = net.processes["h2"].targets
@@ -752,22 +754,22 @@
     )
 
 
-def test_a_caller_that_leaves_stops_its_body(
+def test_a_disconnected_caller_cancels_its_body(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(entries.Entry, "on_body_pull", no_piece)
+    monkeypatch.setattr(entries.Entry, "on_body_pull", send_no_chunk)
     net = Net(hosts=["h1", "h2"])
-    number = uploads(net)
+    number = start_upload(net)
     net.settle()
-    net.processes["h1"].caller_gone(number)
+    net.processes["h1"].caller_disconnected(number)
     net.settle()
     target_side = net.processes["h2"].targets
     assert target_side.busy("t-h2") == 0
     assert target_side.incoming_bodies.waiting == {}
 
 
-def started_early(net: Net, deadline_ms: int) -> calls.Call:
-    """Let a caller come to a proxy that has no configuration yet."""
+def call_before_configuration(net: Net, deadline_ms: int) -> calls.Call:
+    """Send a call to a proxy that has no configuration yet."""
     process = net.processes["h1"]
     process.entry.placement.table = None
     call = calls.Call(
@@ -777,15 +779,15 @@
     return call
 
 
-def test_a_caller_that_comes_early_is_served_in_time() -> None:
-    """All proxies start at once and their callers are there already.
+def test_a_call_before_the_configuration_is_served_in_time() -> None:
+    """All proxies start at once, with callers already present.
 
-    Refused for 0.3 s until the proof comes, callers were back after their
-    answer would have been in time. They wait, and what is left of their
-    time goes with the request.
+    Calls were refused for 0.3 s until the floor was confirmed, and retries
+    came too late for the callers' deadlines. Calls now wait for the
+    configuration and are sent with the rest of their time.
     """
     net = Net(hosts=["h1"])
-    started_early(net, 1500)
+    call_before_configuration(net, 1500)
     net.clock.advance(300)
     net.processes["h1"].tick()
     assert net.carriers["h1"].finals == {}
@@ -800,15 +802,15 @@
 
 
 @pytest.mark.parametrize(
-    ("deadline_ms", "waits_ms"), [(400, 100), (1500, 375), (5000, 400)]
+    ("deadline_ms", "wait_ms"), [(400, 100), (1500, 375), (5000, 400)]
 )
-def test_a_caller_that_comes_too_early_is_told_to_come_back(
-    deadline_ms: int, waits_ms: int
+def test_a_call_without_a_configuration_is_refused_in_time(
+    deadline_ms: int, wait_ms: int
 ) -> None:
-    """No proof comes; nobody is held for more than a part of its time."""
+    """Without a configuration, a call waits only part of its time."""
     net = Net(hosts=["h1"])
-    started_early(net, deadline_ms)
-    net.clock.advance(waits_ms - 1)
+    call_before_configuration(net, deadline_ms)
+    net.clock.advance(wait_ms - 1)
     net.processes["h1"].tick()
     assert net.carriers["h1"].finals == {}
     net.clock.advance(1)
@@ -819,24 +821,25 @@
     assert net.processes["h1"].idle
 
 
-def test_an_early_caller_that_left_is_forgotten() -> None:
+def test_a_cancelled_pending_call_is_not_run() -> None:
     net = Net(hosts=["h1"])
-    started_early(net, 1500)
-    net.processes["h1"].caller_gone(1)
+    call_before_configuration(net, 1500)
+    net.processes["h1"].caller_disconnected(1)
     net.processes["h1"].put_in_force(net.items)
     net.settle()
     assert net.running() == []
 
 
-def test_a_version_is_judged_by_its_own_time() -> None:
-    """A good version's one target is full for a moment, and calls wait.
+def test_a_version_is_judged_by_its_processing_time() -> None:
+    """Calls wait while the only target of a good version is briefly full.
 
-    Counted as its own time the wait made it look slower than the old one,
-    and the move was taken back. What callers wait still shows in metrics.
+    Counted as processing time, the wait made the version look slower than
+    the old one and the move was rolled back. The latency in the metrics
+    still includes the wait.
     """
     net = Net(hosts=["h1"])
-    seen: list[request_effects.Observe] = []
-    net.carriers["h1"].observe = seen.append
+    observed: list[request_effects.Observe] = []
+    net.carriers["h1"].observe = observed.append
     for name in ("a", "b", "c"):
         net.call("h1", "/read", name)
     net.settle()
@@ -849,28 +852,27 @@
         net.carriers[host].dispatched.pop(request_id)
         net.processes[host].target_answered(answer)
         net.settle()
-    assert [effect.run_us for effect in seen] == [100_000] * 3
-    assert seen[-1].latency_us == 300_000
+    assert [effect.run_us for effect in observed] == [100_000] * 3
+    assert observed[-1].latency_us == 300_000
 
 
-def test_a_doubted_host_gets_nothing_and_its_reads_go_elsewhere() -> None:
-    """A cut comes between two hosts under a read and a payment.
+def test_an_unresponsive_host_gets_no_calls_and_its_reads_are_hedged() -> None:
+    """Two hosts are partitioned while a read and a payment run.
 
-    The read is asked for once more at the caller's own host at once; the
-    payment may have run and is not. New calls stay away until the peer
-    answers again.
+    The read is hedged immediately at the caller's own host; the payment may
+    have run and is not. New calls avoid the peer until it responds again.
     """
     net = Net(hosts=["h1", "h2"])
     process = net.processes["h1"]
-    process.target_leaves("t-h1", "test")
+    process.drop_target("t-h1", "test")
     net.share_records()
     net.call("h1", "/read", "a")
     net.call("h1", "/pay", "b")
     net.settle()
     assert [host for host, _ in net.running()] == ["h2", "h2"]
-    net.boot_target("h1")
-    net.let_repeat("h1")
-    # Slower than the doubted one by far, and still the one that answers.
+    net.announce_target("h1")
+    net.add_retry_tokens("h1")
+    # Far slower than the unresponsive one, but the only one to answer.
     process.entry.balancer.target_stats("h1/t-h1").latency_us = 1_500_000
     process.entry.balancer.target_stats("h2/t-h2").latency_us = 10_000
     process.peer_doubted("h2", True)
@@ -883,12 +885,12 @@
     assert process.entry.balancer.unresponsive == set()
 
 
-def test_a_lingering_proxy_serves_its_target_to_others() -> None:
-    """A proxy is told to leave; its target goes on running.
+def test_a_leaving_proxy_keeps_its_target_reachable() -> None:
+    """A proxy is stopped while its target keeps running.
 
-    For as long as it lingered nobody could reach that target, a quarter of
-    a service of four. Now others reach it until shortly before the end, and
-    nothing is refused or cut when they are sent elsewhere.
+    The target was unreachable for the whole linger time, a quarter of the
+    capacity of a service of four. Others now reach it until shortly before
+    the end, and nothing is refused or cut off when it is withdrawn.
     """
     net = Net(hosts=["h1", "h2"])
     process = net.processes["h1"]
@@ -896,23 +898,23 @@
     process.leave()
     net.share_records()
     assert "h1/t-h1" in net.processes["h2"].entry.placement.endpoints.by_key
-    net.processes["h2"].target_leaves("t-h2", "test")
+    net.processes["h2"].drop_target("t-h2", "test")
     net.share_records()
-    early = net.call("h2", "/pay", "a")
+    call_id = net.call("h2", "/pay", "a")
     net.settle()
     ((host, request_id),) = net.running()
     assert host == "h1"
-    net.clock.advance(3000 - proxy_process.HAND_OVER_MS)
+    net.clock.advance(3000 - proxy_process.WITHDRAW_BEFORE_END_MS)
     process.tick()
     net.share_records()
     assert not net.processes["h2"].entry.placement.endpoints.by_key
     net.target_answers(host, request_id)
     net.settle()
-    assert net.final("h2", early).status == 200
+    assert net.final("h2", call_id).status == 200
 
 
 def evacuate(net: Net, host: str, evacuated: bool) -> None:
-    """Let a proxy learn that the domain is evacuated, or taken back."""
+    """Start or end the evacuation of the domain at one proxy."""
     process = net.processes[host]
     items = process.node.config.in_force.copy()
     key = item_store.EVACUATION + DOMAIN
@@ -926,14 +928,13 @@
     process.put_in_force(items)
 
 
-def test_an_evacuated_domain_gets_nothing_from_any_proxy() -> None:
-    """One proxy knows it, the other does not yet; the target is the first's.
+def test_an_evacuated_domain_gets_no_calls() -> None:
+    """The evacuation is known at the target's proxy but not at the entry.
 
-    What the second sends is refused as not run, so its caller is told the
-    truth and when to come back.
+    The request is refused as not run, with a time after which to retry.
     """
     net = Net(hosts=["h1", "h2"])
-    net.processes["h2"].target_leaves("t-h2", "test")
+    net.processes["h2"].drop_target("t-h2", "test")
     net.share_records()
     evacuate(net, "h1", True)
     number = net.call("h2", "/pay", "a")
@@ -951,32 +952,32 @@
     assert [host for host, _ in net.running()] == ["h1"]
 
 
-def test_a_shutdown_waits_for_what_its_target_runs() -> None:
-    """A proxy ended at 5.5 s of 10 and cut a request that still ran."""
+def test_a_shutdown_waits_for_running_requests() -> None:
+    """A proxy exited after 5.5 s of 10 s and cut off a running request."""
     net = Net(hosts=["h1"])
     process = net.processes["h1"]
     process.settings.grace_ms = 10_000
     net.call("h1", "/pay", "a")
     process.leave()
-    net.clock.advance(10_000 - proxy_process.END_MARGIN_MS - 1)
-    assert not process.may_end()
+    net.clock.advance(10_000 - proxy_process.SHUTDOWN_MARGIN_MS - 1)
+    assert not process.may_exit()
     net.clock.advance(1)
-    assert process.may_end()
+    assert process.may_exit()
 
 
 def test_an_idle_shutdown_ends_early() -> None:
-    """A restart in turn would else take each proxy away for its grace."""
+    """Otherwise each step of a rolling restart takes the full grace time."""
     net = Net(hosts=["h1"])
     process = net.processes["h1"]
     process.settings.grace_ms = 10_000
     process.leave()
-    assert not process.may_end()
-    net.clock.advance(proxy_process.LEAST_LEAVE_MS)
-    assert process.may_end()
+    assert not process.may_exit()
+    net.clock.advance(proxy_process.MIN_SHUTDOWN_MS)
+    assert process.may_exit()
 
 
 def test_retries_do_not_multiply_along_a_chain() -> None:
-    """A call that a proxy before retries already is not retried here."""
+    """A call that an earlier proxy already retries is not retried here."""
     net = Net(hosts=["h1"])
     net.processes["h1"].targets.leaving = True
     call = calls.Call(1, "POST", "x", "/read", body=b"a", retried=True)
@@ -989,9 +990,9 @@
         .consecutive_losses
         == 0
     )
-    made = net.processes["h1"].entry.accounting.budgets["tables"]
-    assert made.tokens == -budget.CALL_PRICE
-    assert made.spent[budget.Cause.CALLED] == 1
+    retry_budget = net.processes["h1"].entry.accounting.budgets["tables"]
+    assert retry_budget.tokens == -budget.CALL_PRICE
+    assert retry_budget.spent[budget.Cause.CALLED] == 1
 
 
 @pytest.mark.parametrize(
@@ -1000,15 +1001,15 @@
 def test_a_lost_call_of_a_chain_is_retried_at_one_level(
     retried: bool, runs: int, status: int
 ) -> None:
-    """The link breaks under a call that may be repeated.
+    """The link breaks during a repeatable call.
 
-    Its caller is a target whose own request is a retry already. Retried at
-    each level of a chain of 19, one loss would become half a million calls.
+    Its caller is a target whose own request is already a retry. Retried at
+    each level of a chain of 19, one loss would cause half a million calls.
     """
     net = Net()
-    net.processes["h1"].target_leaves("t-h1", "test")
+    net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
-    net.let_repeat("h1")
+    net.add_retry_tokens("h1")
     call = calls.Call(
         1, "GET", "x", "/read", headers=b"", body=b"a", retried=retried
     )
@@ -1039,7 +1040,7 @@
 
     @stateful.rule(host=hosts, name=names, timed=st.booleans())
     def a_caller_sends(self, host: str, name: str, timed: bool) -> None:
-        """The same name always goes with the same key."""
+        """Send a request; the same name always has the same key."""
         if host not in self.net.processes:
             return
         key = self.keys.setdefault(
