--- a/libs/daemon/tests/test_shutdown.py
+++ b/libs/daemon/tests/test_shutdown.py
@@ -22,7 +22,7 @@
     def send(self, data: bytes) -> int:
         """Take what there is room for."""
         if not self.room:
-            raise BlockingIOError(transports.AGAIN[0], "full")
+            raise BlockingIOError(transports.RETRYABLE_ERRNOS[0], "full")
         taken = bytes(data[: self.room])
         self.sent += taken
         self.room -= len(taken)
@@ -65,13 +65,13 @@
     def __init__(self) -> None:
         self.taken: list[http_server.ServerConnection] = []
 
-    def take(
+    def handle_request(
         self, connection: http_server.ServerConnection, message: typing.Any
     ) -> None:
         """Keep a request."""
         self.taken.append(connection)
 
-    def gone(self, connection: http_server.ServerConnection) -> None:
+    def on_disconnect(self, connection: http_server.ServerConnection) -> None:
         """Ignore."""
 
 
@@ -81,7 +81,7 @@
     def __init__(self, idle_ms: int = 0) -> None:
         self.clock = clocks.PausedClock()
         self.handler = Handler()
-        self.cut: list[http_server.ServerConnection] = []
+        self.truncated: list[http_server.ServerConnection] = []
         self.transport = transports.Transport(
             typing.cast(transports.DirectPoller, Poller())
         )
@@ -89,16 +89,16 @@
             self.transport,
             self.handler,
             self.clock,
-            limits=http_server.SenderLimits(idle_ms=idle_ms),
-            bad=lambda why: None,
-            cut=self.cut.append,
+            limits=http_server.ConnectionLimits(idle_ms=idle_ms),
+            malformed=lambda why: None,
+            truncated=self.truncated.append,
         )
         self.sock = Socket()
         stream = transports.Stream(
             self.transport, typing.cast(typing.Any, self.sock), False
         )
         self.transport.streams[typing.cast(typing.Any, self.sock)] = stream
-        self.server._accepted(stream)
+        self.server._on_accept(stream)
 
     def caller_sends(self, data: bytes) -> None:
         """Let bytes of the caller arrive."""
@@ -118,9 +118,9 @@
         """Close what is idle now."""
         self.server.close_idle(self.clock.now_ms())
 
-    def owes(self) -> bool:
+    def has_open_transfers(self) -> bool:
         """Tell whether the shutdown waits for a caller."""
-        return self.server.owes(self.clock.now_ms())
+        return self.server.has_open_transfers(self.clock.now_ms())
 
 
 def test_a_shutdown_sends_an_answer_to_its_end() -> None:
@@ -130,12 +130,12 @@
     proxy.answers(b"x" * 1000)
     proxy.caller_reads(100)
     proxy.close_idle()
-    assert proxy.owes()
+    assert proxy.has_open_transfers()
     proxy.caller_reads(10_000)
     assert proxy.sock.sent.endswith(b"x" * 1000)
     assert proxy.sock.closed
-    assert not proxy.owes()
-    assert proxy.cut == []
+    assert not proxy.has_open_transfers()
+    assert proxy.truncated == []
 
 
 def test_a_shutdown_answers_a_request_that_is_still_coming() -> None:
@@ -143,7 +143,7 @@
     proxy = Proxy()
     proxy.caller_sends(UPLOAD)
     proxy.close_idle()
-    assert proxy.owes()
+    assert proxy.has_open_transfers()
     proxy.caller_sends(b"cd")
     proxy.caller_reads(10_000)
     proxy.answers()
@@ -169,7 +169,7 @@
     began_by_ms = proxy.clock.now_ms()
     proxy.clock.advance(1)
     proxy.caller_sends(UPLOAD)
-    assert not proxy.server.owes(began_by_ms)
+    assert not proxy.server.has_open_transfers(began_by_ms)
 
 
 def test_a_request_behind_the_last_answer_gets_its_own() -> None:
@@ -177,7 +177,7 @@
     proxy = Proxy()
     proxy.sock.room = 10_000
     proxy.caller_sends(REQUEST + REQUEST)
-    proxy.server.close_politely()
+    proxy.server.close_after_answers()
     proxy.answers()
     assert not proxy.sock.closed
     assert len(proxy.handler.taken) == 2
@@ -190,7 +190,7 @@
     """A request ran although its connection could carry no answer."""
     proxy = Proxy()
     proxy.caller_sends(REQUEST)
-    proxy.server.close_politely()
+    proxy.server.close_after_answers()
     proxy.answers()
     proxy.caller_sends(REQUEST)
     assert len(proxy.handler.taken) == 1
@@ -209,7 +209,7 @@
     proxy.clock.advance(1001)
     proxy.server.tick()
     assert proxy.sock.closed
-    assert len(proxy.cut) == 1
+    assert len(proxy.truncated) == 1
 
 
 def test_an_answer_of_any_size_is_sent() -> None:
--- a/libs/daemon/tests/test_slot_metrics.py
+++ b/libs/daemon/tests/test_slot_metrics.py
@@ -1,4 +1,4 @@
-"""What the metrics page tells of the slots of targets."""
+"""Tests of the slot metrics of targets."""
 
 import random
 
@@ -25,8 +25,8 @@
     )
 
 
-def test_the_page_tells_what_slots_are_taken_by() -> None:
-    """A target that works was not told from one that stands idle."""
+def test_slots_are_reported_by_state() -> None:
+    """A busy target could not be distinguished from an idle one."""
     core = target_side.TargetSide(quarantines.Quarantine(), random.Random(1))
     ready = messages.TargetState.READY
     record = messages.TargetRecord("t1", "tables", "v1", [], 2, ready)
@@ -34,5 +34,5 @@
     for number in (1, 2, 3):
         core.on_request("peer", request(number), 0)
     (slots,) = slot_metrics.families(core.targets.values())
-    told = {s.labels["state"]: s.value for s in slots.samples}
-    assert told == {"all": 2, "running": 2, "queued": 1}
+    values_by_state = {s.labels["state"]: s.value for s in slots.samples}
+    assert values_by_state == {"all": 2, "running": 2, "queued": 1}
--- a/libs/emulator/src/trefoil_emulator/target.py
+++ b/libs/emulator/src/trefoil_emulator/target.py
@@ -54,8 +54,8 @@
             self.transport,
             self,
             self.clock,
-            limits=http_server.SenderLimits(max_body=MAX_BODY),
-            bad=lambda why: None,
+            limits=http_server.ConnectionLimits(max_body=MAX_BODY),
+            malformed=lambda why: None,
         )
         self.port = self.server.listen(f"{options['ip']}:{options['port']}")
         self.started_ms = self.clock.now_ms()
@@ -79,7 +79,7 @@
 
     # Requests
 
-    def take(
+    def handle_request(
         self,
         connection: http_server.ServerConnection,
         message: _http.Message,
@@ -132,7 +132,7 @@
             self.free_us = [now_us] * workers
         return max(now_us, self.free_us[0])
 
-    def gone(self, connection: http_server.ServerConnection) -> None:
+    def on_disconnect(self, connection: http_server.ServerConnection) -> None:
         """Note a request that its proxy cancelled."""
         for number, running in list(self.under_way.items()):
             if running is connection:
@@ -189,7 +189,7 @@
     # Time
 
     @handlers.handler("beat")
-    def _on_beat(self) -> None:
+    def _on_tick(self) -> None:
         now_us = self.clock.now_us()
         while self.due and self.due[0][0] <= now_us:
             self._finish(heapq.heappop(self.due)[1])
