--- a/libs/daemon/src/trefoil_daemon/http_server.py
+++ b/libs/daemon/src/trefoil_daemon/http_server.py
@@ -97,7 +97,7 @@
         if not keep_alive:
             self.stream.close_after_write()
             return
-        self.stream.pause(False)
+        self.stream.set_paused(False)
         self.server.read_next(self)
 
     def _is_last(self) -> bool:
@@ -203,7 +203,7 @@
             # answered. Beyond the limit, TCP flow control stops the sender.
             connection.reader.buffer += data
             if len(connection.reader.buffer) > MAX_PIPELINED_BYTES:
-                stream.pause(True)
+                stream.set_paused(True)
             return
         self._feed(connection, data)
 
--- a/libs/daemon/src/trefoil_daemon/transport.py
+++ b/libs/daemon/src/trefoil_daemon/transport.py
@@ -102,7 +102,7 @@
             return
         self.write_buffer += data
 
-    def pause(self, paused: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Stop or resume reading, to apply back-pressure to the sender."""
         if not self.closed and not self.connecting:
             if self.reading == paused:
--- a/libs/daemon/tests/test_edges.py
+++ b/libs/daemon/tests/test_edges.py
@@ -49,7 +49,7 @@
         """Record sent data."""
         self.sent += data
 
-    def pause(self, paused: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Ignore."""
 
     def close_after_write(self) -> None:
