--- a/libs/daemon/src/trefoil_daemon/_http.py
+++ b/libs/daemon/src/trefoil_daemon/_http.py
@@ -207,8 +207,9 @@
         self.chunks = None
         self.length = 0
         if transfer_coding is not None:
-            # With both lengths, the next server could find another end of
-            # the message, which allows request smuggling.
+            # Given both Transfer-Encoding and Content-Length, the next server
+            # may find a different end of the message, which allows request
+            # smuggling.
             if length is not None or transfer_coding.lower() != b"chunked":
                 raise errors.ProtocolError(400, "unclear length")
             self.chunks = _chunked.ChunkedBody(self.kind == REQUEST)
--- a/libs/daemon/src/trefoil_daemon/_page.py
+++ b/libs/daemon/src/trefoil_daemon/_page.py
@@ -1,11 +1,11 @@
-"""Base class for pages that only answer GET."""
+"""Base class of pages that answer only GET."""
 
 from . import _http
 from . import http_server
 
 
 class Page:
-    """Rejects other methods than GET, which a subclass answers."""
+    """Rejects methods other than GET; a subclass answers GET."""
 
     __slots__ = ()
 
--- a/libs/daemon/src/trefoil_daemon/gateway.py
+++ b/libs/daemon/src/trefoil_daemon/gateway.py
@@ -28,8 +28,8 @@
     Args:
         process: The process engine.
         dialect: Header names.
-        service: Service of the target on this host, named to the called
-            targets as the caller; empty for none.
+        service: Service of the target on this host, sent to called targets
+            as the name of their caller; empty for none.
     """
 
     __slots__ = (
@@ -49,14 +49,14 @@
         self.process = process
         self.dialect = dialect
         self.service = service
-        named = (
+        header_names = (
             dialect.deadline,
             dialect.retried,
             dialect.caller_service,
             dialect.target,
         )
         self.reserved_headers = frozenset(
-            name.lower() for name in named if name
+            name.lower() for name in header_names if name
         )
         self.connections: dict[int, http_server.ServerConnection] = {}
 
@@ -126,8 +126,8 @@
                 final.status, final.reason, final.headers, final.body
             )
             return
-        ran = b"unknown" if final.ran else b"not-run"
-        headers = b"X-Trefoil-Outcome: " + ran + b"\r\n"
+        outcome = b"unknown" if final.ran else b"not-run"
+        headers = b"X-Trefoil-Outcome: " + outcome + b"\r\n"
         if final.retry_after_ms:
             headers += b"Retry-After: %s\r\n" % self._seconds(
                 final.retry_after_ms
--- a/libs/daemon/src/trefoil_daemon/pools.py
+++ b/libs/daemon/src/trefoil_daemon/pools.py
@@ -235,8 +235,8 @@
     def _on_data(self, stream: transports.Stream, data: bytes) -> None:
         connection = stream.owner
         if connection.request is None:
-            # No request is in flight. Kept, these bytes would be taken for
-            # the answer to the next request, of another caller.
+            # No request is in flight. If kept, these bytes would be taken
+            # for the answer to the next request, and reach another caller.
             stream.close()
             return
         try:
--- a/libs/daemon/src/trefoil_daemon/proxy.py
+++ b/libs/daemon/src/trefoil_daemon/proxy.py
@@ -107,7 +107,7 @@
         self.gateway.service = settings.service
 
     def limit_callers(self, limits: messages.CallerLimits) -> None:
-        """Apply the configuration's caller limits; 0 keeps the old one."""
+        """Apply the configuration's caller limits; 0 keeps the current one."""
         current = self.callers.limits
         current.max_head = limits.max_head_bytes or current.max_head
         current.max_body = limits.max_body_bytes or current.max_body
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -1,4 +1,4 @@
-"""The engine of ``trefoilroute-proxy``, which does no input or output."""
+"""The engine of ``trefoilroute-proxy``: combines the cores, does no I/O."""
 
 import functools
 import random
@@ -46,10 +46,11 @@
 # Before a leaving proxy refuses requests, other proxies must have learned that
 # its targets are gone, and the requests they sent before must have run.
 WITHDRAW_BEFORE_END_MS = 1200
-# Time in which requests arrive that other proxies sent before they learned of
-# the shutdown.
+# Requests that other proxies sent before they learned of the shutdown arrive
+# within this time.
 MIN_SHUTDOWN_MS = 1500
-# A killed process cannot tell its callers how their requests ended.
+# The process exits this long before it would be killed: a killed process
+# cannot tell its callers how their requests ended.
 SHUTDOWN_MARGIN_MS = 500
 
 
@@ -394,9 +395,9 @@
     def reply(self, origin: str, message: typing.Any) -> None:
         """Reply to the origin of a message."""
         if isinstance(message, messages.Answer):
-            waiting = self.requests_by_origin.get(origin)
-            if waiting is not None:
-                waiting.discard(message.request_id)
+            request_ids = self.requests_by_origin.get(origin)
+            if request_ids is not None:
+                request_ids.discard(message.request_id)
         if origin == target_side.LOCAL:
             receive(message, self, target_side.LOCAL)
         else:
--- a/libs/daemon/src/trefoil_daemon/runtime.py
+++ b/libs/daemon/src/trefoil_daemon/runtime.py
@@ -122,7 +122,7 @@
         self.after_tick()
 
     def serve_metrics(self, address: str) -> None:
-        """Open the metrics listener; nothing if the address is empty."""
+        """Open the metrics listener, unless the address is empty."""
         if not address:
             return
         server = http_server.HttpServer(
@@ -172,7 +172,7 @@
 
     @handlers.handler("exception", channel="*", priority=100.0)
     def _on_exception(self, *args: typing.Any, **kwargs: typing.Any) -> None:
-        """Log an exception of a handler; the process goes on."""
+        """Log an exception of a handler; the process continues."""
         kind, value, trace = args[0], args[1], args[2]
         lines = trace if isinstance(trace, list) else [str(trace)]
         self.note(
--- a/libs/daemon/src/trefoil_daemon/transport.py
+++ b/libs/daemon/src/trefoil_daemon/transport.py
@@ -253,7 +253,7 @@
             on_open(stream)
 
     def writable(self, sock: socket.socket) -> None:
-        """Finish a connection or send buffered data on a writable socket."""
+        """Finish connecting, or send buffered data, on a writable socket."""
         stream = self.streams.get(sock)
         if stream is None:
             return
--- a/libs/daemon/tests/test_edges.py
+++ b/libs/daemon/tests/test_edges.py
@@ -57,7 +57,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close, with one callback."""
+        """Close, and call ``on_close`` once."""
         if not self.closed:
             self.closed = True
             self.on_close(self)
@@ -224,7 +224,11 @@
 
 
 def test_a_long_request_beside_short_ones_is_not_aborted() -> None:
-    """A caller got a 502 for an upload that its target was still running."""
+    """A caller got a 502 for an upload that its target was still running.
+
+    Compared with the short requests of another route, the upload's connection
+    looked silent.
+    """
     target = Target()
     stream = target.send(1, "upload", "uploads")
     run_short_requests(target, "checks")
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -1,8 +1,8 @@
 """Tests of complete proxy engines, driven through the facade.
 
 Four proxies, each with one target, are connected by simulated links. As with
-TCP, a connection delivers its messages in order and without loss, but may
-break at any time.
+TCP, a connection delivers its messages in order, without loss or duplicates,
+but may break at any time.
 """
 
 import random
@@ -130,12 +130,12 @@
         self.carriers: dict[str, Carrier] = {}
         self.processes: dict[str, proxy_process.ProxyProcess] = {}
         self.connections: dict[tuple[str, str], int] = {}
-        self.numbers = 0
+        self.last_connection = 0
         self.wire: list[tuple[str, str, int, bool, typing.Any]] = []
         self.outstanding: dict[int, tuple[str, int]] = {}
         self.runs: dict[str, int] = {}
         self.cut: set[str] = set()
-        self.call_ids = 0
+        self.last_call_id = 0
         self.boots = 0
         for host in hosts:
             self.boot(host)
@@ -203,8 +203,8 @@
             return False
         pair = (source, destination)
         if pair not in self.connections:
-            self.numbers += 1
-            self.connections[pair] = self.numbers
+            self.last_connection += 1
+            self.connections[pair] = self.last_connection
         number = self.connections[pair]
         if isinstance(message, messages.Request):
             self.outstanding[message.request_id] = (source, number)
@@ -253,8 +253,8 @@
         chosen = self.wire[index % len(self.wire)]
         first = next(sent for sent in self.wire if sent[:4] == chosen[:4])
         self.wire.remove(first)
-        source, destination, number, back, message = first
-        pair = (destination, source) if back else (source, destination)
+        source, destination, number, is_reply, message = first
+        pair = (destination, source) if is_reply else (source, destination)
         if self.connections.get(pair) != number:
             return
         if (source in self.cut) != (destination in self.cut):
@@ -281,13 +281,18 @@
 
     def call(self, host: str, path: str, name: str, key: str = "") -> int:
         """Send a caller's request; return its call id."""
-        self.call_ids += 1
+        self.last_call_id += 1
         self.processes[host].call(
             calls.Call(
-                self.call_ids, "POST", "x", path, body=name.encode(), key=key
+                self.last_call_id,
+                "POST",
+                "x",
+                path,
+                body=name.encode(),
+                key=key,
             )
         )
-        return self.call_ids
+        return self.last_call_id
 
     def add_retry_tokens(self, host: str) -> None:
         """Fill a proxy's retry budget, which is empty after its start."""
@@ -657,12 +662,12 @@
     """Send a large body through h1, which has no target of its own."""
     net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
-    net.call_ids += 1
+    net.last_call_id += 1
     call = calls.Call(
-        net.call_ids, "POST", "x", path, body=LARGE, deadline_ms=2000
+        net.last_call_id, "POST", "x", path, body=LARGE, deadline_ms=2000
     )
     net.processes["h1"].call(call)
-    return net.call_ids
+    return net.last_call_id
 
 
 def test_a_large_body_is_sent_on_request() -> None:
@@ -705,8 +710,8 @@
 def test_a_body_is_sent_to_a_host_with_a_free_link() -> None:
     """The link to one host is busy for longer than the caller waits.
 
-    The host refuses before any of the body is sent and the request goes to
-    another host, as the next request does immediately.
+    The host refuses before any of the body is sent, and the request goes to
+    another host. The next request goes there directly.
     """
     net = Net(hosts=["h1", "h2", "h3"])
     incoming_bodies = net.processes["h2"].targets.incoming_bodies
@@ -953,7 +958,7 @@
 
 
 def test_a_shutdown_waits_for_running_requests() -> None:
-    """A proxy exited after 5.5 s of 10 s and cut off a running request."""
+    """A proxy exited after 5.5 s of its 10 s and cut off a request."""
     net = Net(hosts=["h1"])
     process = net.processes["h1"]
     process.settings.grace_ms = 10_000
