--- a/libs/daemon/tests/test_evacuations.py
+++ b/libs/daemon/tests/test_evacuations.py
@@ -23,7 +23,7 @@
 
     def ask(
         self,
-        net: control_net.Net,
+        net: control_net.Network,
         at: str,
         evacuated: bool = True,
         domain: str = DOMAIN,
@@ -41,20 +41,20 @@
         return [reply.outcome for reply in self.replies]
 
 
-def evacuated(net: control_net.Net, at: str) -> bool:
+def evacuated(net: control_net.Network, at: str) -> bool:
     """Tell whether a process knows the domain as evacuated."""
     key = item_store.EVACUATION + DOMAIN
     return net.processes[at].state.items.get(key) is not None
 
 
-def follower_of(net: control_net.Net) -> str:
+def follower_of(net: control_net.Network) -> str:
     """Return a process that does not lead."""
     (leader,) = net.leaders()
     return next(name for name in net.processes if name != leader)
 
 
 def test_any_control_process_takes_an_evacuation() -> None:
-    net = control_net.founded()
+    net = control_net.founded_network()
     caller = Caller()
     caller.ask(net, follower_of(net))
     net.run(500)
@@ -64,7 +64,7 @@
 
 def test_the_same_call_comes_anew_after_a_withdrawal() -> None:
     """Known by its content, the second evacuation would change nothing."""
-    net = control_net.founded()
+    net = control_net.founded_network()
     at = follower_of(net)
     for wanted in (True, False, True):
         caller = Caller()
@@ -76,7 +76,7 @@
 
 def test_a_process_that_lags_asks_once_more_for_its_caller() -> None:
     """It has not heard that the domain was evacuated before."""
-    net = control_net.founded()
+    net = control_net.founded_network()
     (leader,) = net.leaders()
     at = follower_of(net)
     Caller().ask(net, leader)
@@ -92,7 +92,7 @@
 
 def test_a_call_that_stood_unread_is_not_run() -> None:
     """Its host was frozen; another has answered, and the caller hung up."""
-    net = control_net.founded()
+    net = control_net.founded_network()
     caller = Caller()
     caller.ask(net, follower_of(net))
     caller.waits = False
@@ -103,7 +103,7 @@
 
 def test_a_slip_in_the_name_is_refused() -> None:
     """Acknowledged, the domain that was meant would go on getting calls."""
-    net = control_net.founded()
+    net = control_net.founded_network()
     for process in net.processes.values():
         process.settings.domains = [DOMAIN, "ariana"]
     caller = Caller()
@@ -119,7 +119,7 @@
     wiped: int,
 ) -> None:
     """All lose power right after the answer, one its disk as well."""
-    net = control_net.founded("10.0.0.9")
+    net = control_net.founded_network("10.0.0.9")
     caller = Caller()
     caller.ask(net, follower_of(net))
     while not caller.replies:
@@ -138,9 +138,9 @@
 
 def test_an_evacuation_without_a_leader_is_answered_pending() -> None:
     """Not run would be a guess: it may be agreed once there is a leader."""
-    net = control_net.founded()
+    net = control_net.founded_network()
     at = follower_of(net)
-    net.cut({at}, set(net.processes) - {at})
+    net.partition({at}, set(net.processes) - {at})
     caller = Caller()
     caller.ask(net, at)
     net.run(4000)
@@ -148,7 +148,7 @@
 
 
 def test_the_status_tells_what_is_evacuated() -> None:
-    net = control_net.founded()
+    net = control_net.founded_network()
     (leader,) = net.leaders()
     Caller().ask(net, leader)
     net.run(500)
--- a/libs/daemon/tests/test_joining.py
+++ b/libs/daemon/tests/test_joining.py
@@ -13,14 +13,14 @@
 from trefoil_wire import frames
 from trefoil_wire import messages
 
-SEEDS = control_net.SEEDS
-Net = control_net.Net
-founded = control_net.founded
+FOUNDERS = control_net.FOUNDERS
+Network = control_net.Network
+founded_network = control_net.founded_network
 
 
 def test_the_seeds_found_it_and_a_fourth_joins() -> None:
     """All start together; the fourth knows the seeds, nobody knows it."""
-    net = founded("10.0.0.9")
+    net = founded_network("10.0.0.9")
     assert len(net.leaders()) == 1
     for name in net.processes:
         assert net.voters(name) == set(net.processes)
@@ -28,7 +28,7 @@
 
 def test_a_fourth_with_a_lesser_name_joins() -> None:
     """None of the seeds dials a stranger; it dials them."""
-    net = founded("10.0.0.0")
+    net = founded_network("10.0.0.0")
     assert net.voters(net.leaders()[0]) == set(net.processes)
 
 
@@ -38,13 +38,13 @@
     One half has two seeds, the other one seed and a newcomer. Were any two
     enough, both halves would acknowledge configurations.
     """
-    net = Net()
-    net.cut(set(SEEDS[:2]), {SEEDS[2], "10.0.0.9"})
-    for name in SEEDS + ["10.0.0.9"]:
+    net = Network()
+    net.partition(set(FOUNDERS[:2]), {FOUNDERS[2], "10.0.0.9"})
+    for name in FOUNDERS + ["10.0.0.9"]:
         net.start(name, found=True)
     net.run(5000)
     assert len(net.leaders()) == 1
-    assert net.leaders()[0] in SEEDS[:2]
+    assert net.leaders()[0] in FOUNDERS[:2]
 
 
 def test_a_wiped_founder_does_not_found_again() -> None:
@@ -53,8 +53,8 @@
     Under their first identities they would make a majority that knows
     nothing and acknowledge over what is agreed.
     """
-    net = founded()
-    for name in SEEDS[:2]:
+    net = founded_network()
+    for name in FOUNDERS[:2]:
         net.stop(name)
         net.disks[name] = disks.MemoryDisk()
         net.start(name, found=False)
@@ -63,7 +63,7 @@
 
 
 def test_a_wiped_host_is_let_in_again() -> None:
-    net = founded("10.0.0.9")
+    net = founded_network("10.0.0.9")
     net.stop("10.0.0.2")
     net.disks["10.0.0.2"] = disks.MemoryDisk()
     net.start("10.0.0.2", found=False)
@@ -76,7 +76,7 @@
 
 def test_a_host_gone_for_good_loses_its_vote_and_is_replaced() -> None:
     """One is lost; later an empty one comes at another address."""
-    net = founded("10.0.0.9")
+    net = founded_network("10.0.0.9")
     net.stop("10.0.0.3")
     net.run(rafts.VOTER_REMOVAL_MS + 3000)
     (leader,) = net.leaders()
@@ -88,18 +88,18 @@
 
 def test_a_dropped_host_that_comes_back_votes_again() -> None:
     """It was cut off for long; in its own log it is a voter still."""
-    net = founded("10.0.0.9")
+    net = founded_network("10.0.0.9")
     everyone = set(net.processes)
-    net.cut(everyone - {"10.0.0.1"}, {"10.0.0.1"})
+    net.partition(everyone - {"10.0.0.1"}, {"10.0.0.1"})
     net.run(rafts.VOTER_REMOVAL_MS + 4000)
-    net.halves = ()
+    net.partitions = ()
     net.run(8000)
     (leader,) = net.leaders()
     assert net.voters(leader) == everyone
     assert net.voters("10.0.0.1") == everyone
 
 
-def read_document(net: Net, at: str) -> list[messages.QueryReply]:
+def read_document(net: Network, at: str) -> list[messages.QueryReply]:
     """Ask a process for the document; return what the operator is told."""
     told: list[messages.QueryReply] = []
     net.processes[at].ask(
@@ -115,9 +115,9 @@
     The process that passed the query on asks the next leader, so that the
     operator gets a confirmed answer and need not ask again.
     """
-    net = founded()
+    net = founded_network()
     (leader,) = net.leaders()
-    at = next(name for name in SEEDS if name != leader)
+    at = next(name for name in FOUNDERS if name != leader)
     net.stop(leader)
     told = read_document(net, at)
     net.run(2500)
@@ -134,15 +134,15 @@
 
 def test_a_document_that_the_asker_holds_does_not_travel() -> None:
     """An operator reads it from each control host, which asks the leader."""
-    net = founded()
+    net = founded_network()
     (leader,) = net.leaders()
-    at = next(name for name in SEEDS if name != leader)
+    at = next(name for name in FOUNDERS if name != leader)
     net.processes[leader].submit(numbered(1, b"the text"), lambda reply: None)
     net.run(1000)
     told = read_document(net, at)
     net.run(500)
     replies = messages.QueryReply
-    (passed,) = [m for m in net.arrived if isinstance(m, replies)]
+    (passed,) = [m for m in net.delivered if isinstance(m, replies)]
     assert passed.body == ""
     assert [reply.confirmed for reply in told] == [True]
     assert "the text" in told[0].body
@@ -150,9 +150,9 @@
 
 def test_a_newer_document_than_the_askers_does_travel() -> None:
     """A control host that lags must not vouch for what it holds."""
-    net = founded()
+    net = founded_network()
     (leader,) = net.leaders()
-    at = next(name for name in SEEDS if name != leader)
+    at = next(name for name in FOUNDERS if name != leader)
     net.processes[leader].submit(numbered(1, b"old"), lambda reply: None)
     net.run(1000)
     state = net.processes[at].state
@@ -183,9 +183,9 @@
     reply would count as a copy on a disk, and an acknowledged configuration
     could be lost with the power. It falls silent before it replies.
     """
-    net = founded()
+    net = founded_network()
     (leader,) = net.leaders()
-    follower = next(name for name in SEEDS if name != leader)
+    follower = next(name for name in FOUNDERS if name != leader)
     process = net.processes[follower]
     process.store.disk = FullDisk(net.disks[follower].files)
     raft = net.processes[leader].raft
@@ -196,25 +196,25 @@
         if isinstance(effect, common.Send)
         and rafts.process_name(effect.to) == follower
     ]
-    net.wire = []
+    net.in_transit = []
     process.link_message(leader, request)
     replies = [
         message
-        for source, _, message in net.wire
+        for source, _, message in net.in_transit
         if source == follower and isinstance(message, messages.AppendReply)
     ]
     assert replies == []
     assert index == request.entries[-1].index
-    assert "store.failed" in process.carrier.notes
+    assert "store.failed" in process.carrier.events
 
 
-def fill(net: Net, name: str) -> None:
+def fill(net: Network, name: str) -> None:
     """Let a process's disk be full from now on."""
     process = net.processes[name]
     process.disk = process.store.disk = FullDisk(net.disks[name].files)
 
 
-def free(net: Net, name: str) -> None:
+def free(net: Network, name: str) -> None:
     """Let a process's disk take writes again."""
     net.processes[name].disk = net.disks[name]
 
@@ -235,9 +235,9 @@
     lead, a command is acknowledged, and once the disk takes writes it has
     what was agreed meanwhile.
     """
-    net = founded()
+    net = founded_network()
     (leader,) = net.leaders()
-    follower = next(name for name in SEEDS if name != leader)
+    follower = next(name for name in FOUNDERS if name != leader)
     full = leader if leads else follower
     fill(net, full)
     told: list[messages.CommandReply] = []
@@ -252,7 +252,7 @@
     other = net.processes[net.leaders()[0]]
     assert process.state.items.revision == other.state.items.revision
     assert process.raft.commit == other.raft.commit
-    assert "store.works_again" in process.carrier.notes
+    assert "store.works_again" in process.carrier.events
 
 
 def test_what_a_full_disk_refused_is_not_acknowledged_later() -> None:
@@ -261,9 +261,9 @@
     The leader had it in memory. Once its disk is free it must not come back
     with an entry that no disk ever held.
     """
-    net = founded()
+    net = founded_network()
     (leader,) = net.leaders()
-    net.cut({leader}, set(SEEDS) - {leader})
+    net.partition({leader}, set(FOUNDERS) - {leader})
     fill(net, leader)
     told: list[messages.CommandReply] = []
     net.processes[leader].submit(document(2), told.append)
@@ -275,9 +275,9 @@
     assert all(reply.outcome != messages.Outcome.DONE for reply in told)
 
 
-def restarted(seed: int) -> Net:
+def restarted(seed: int) -> Network:
     """Return a net whose processes all lost power and start again."""
-    net = founded("10.0.0.9")
+    net = founded_network("10.0.0.9")
     names = list(net.processes)
     for name in names:
         net.stop(name)
@@ -287,7 +287,7 @@
     return net
 
 
-def leader_found_ms(net: Net) -> int:
+def leader_found_ms(net: Network) -> int:
     """Let time pass until somebody leads; return how long it took."""
     waited_ms = 0
     while not net.leaders():
@@ -335,7 +335,7 @@
 """
 
 
-def accepts(net: Net, at: str) -> typing.Callable[[], bool]:
+def accepts(net: Network, at: str) -> typing.Callable[[], bool]:
     """Submit a first configuration; return whether it was acknowledged."""
     made = configuration.parse(DOCUMENT).ok
     code, body = frames.pack_any(made)
@@ -351,8 +351,8 @@
     The first configuration comes before the others are voters. Acknowledged
     on two disks of three, it is gone once these two are lost.
     """
-    net = Net()
-    for name in SEEDS:
+    net = Network()
+    for name in FOUNDERS:
         net.start(name, found=True, lost_disks=2)
     while not net.leaders():
         net.run(control_net.STEP_MS)
@@ -368,8 +368,8 @@
 
 def test_the_first_configuration_does_not_wait_for_ever() -> None:
     """Two of five hosts never start; the others take it all the same."""
-    net = Net()
-    for name in SEEDS:
+    net = Network()
+    for name in FOUNDERS:
         net.start(name, found=True, lost_disks=2)
     net.run(control_process.FOUNDING_MS + 2000)
     done = accepts(net, net.leaders()[0])
--- a/libs/emulator/src/trefoil_emulator/control_net.py
+++ b/libs/emulator/src/trefoil_emulator/control_net.py
@@ -1,4 +1,4 @@
-"""Control processes joined in memory, without sockets or disks."""
+"""In-memory network of control processes, without sockets or disks."""
 
 import random
 import typing
@@ -10,47 +10,55 @@
 from trefoil_settings import settings as setting_store
 from trefoil_store import disk as disks
 
-SEEDS = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
+FOUNDERS = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 STEP_MS = 50
 
 
 class Carrier:
-    """Carries one process's effects into the net."""
+    """Carries out the effects of one process on the network.
 
-    def __init__(self, net: "Net", name: str) -> None:
+    Args:
+        net: The network.
+        name: Name of the process.
+    """
+
+    def __init__(self, net: "Network", name: str) -> None:
         self.net = net
         self.name = name
-        self.notes: list[str] = []
+        self.events: list[str] = []
 
     def link_send(self, host: str, message: typing.Any) -> None:
-        """Send on a link if there is one."""
+        """Queue a message for a peer; drop it without a link."""
         if frozenset((self.name, host)) in self.net.links:
-            self.net.wire.append((self.name, host, message))
+            self.net.in_transit.append((self.name, host, message))
 
     def dial(self, host: str, address: str) -> None:
-        """Open a link if the peer is there."""
+        """Open a link to a peer."""
         self.net.dial(self.name, host)
 
     def hang_up(self, host: str) -> None:
-        """Close a link."""
+        """Close the link to a peer."""
         self.net.unlink(self.name, host)
 
     def probe(self, host: str, address: str) -> None:
-        """Ignore."""
+        """Ignore the probe."""
 
     def reply(self, origin: str, message: typing.Any) -> None:
-        """Ignore."""
+        """Ignore the reply."""
 
     def note(self, note: common.Note) -> None:
-        """Keep the event."""
-        self.notes.append(note.event)
+        """Record the name of a log event."""
+        self.events.append(note.event)
 
     def count(self, count: common.Count) -> None:
-        """Ignore."""
+        """Ignore the count."""
+
 
+class Network:
+    """Control processes on a network that can be partitioned.
 
-class Net:
-    """Control processes joined by links that a cut takes away."""
+    Time is simulated: it only advances in ``run``.
+    """
 
     def __init__(self) -> None:
         self.clock = clocks.PausedClock()
@@ -58,23 +66,29 @@
         self.processes: dict[str, control_process.ControlProcess] = {}
         self.disks: dict[str, disks.MemoryDisk] = {}
         self.links: set[frozenset[str]] = set()
-        self.wire: list[tuple[str, str, typing.Any]] = []
-        self.arrived: list[typing.Any] = []
-        self.halves: tuple[set[str], ...] = ()
+        self.in_transit: list[tuple[str, str, typing.Any]] = []
+        self.delivered: list[typing.Any] = []
+        self.partitions: tuple[set[str], ...] = ()
 
     def start(self, name: str, *, found: bool, lost_disks: int = 1) -> None:
-        """Start a process, with the disk that it had."""
-        checked = setting_store.parse(
+        """Start a process, on its previous disk if it has one.
+
+        Args:
+            name: Name of the process, which is its host.
+            found: Whether it may take part in founding the cluster.
+            lost_disks: Control hosts that may lose their disks at once.
+        """
+        parsed = setting_store.parse(
             f"host: {name}\ndomain: d\npeers: {name}:7000\n"
             f"admin: {name}:8000\ndata_folder: x\nfound: {str(found).lower()}"
             f"\nlost_disks: {lost_disks}"
-            f"\njoin: [{', '.join(f'{s}:8000' for s in SEEDS)}]\n",
+            f"\njoin: [{', '.join(f'{s}:8000' for s in FOUNDERS)}]\n",
             "control",
         )
-        assert checked.is_ok(), str(checked.error)
+        assert parsed.is_ok(), str(parsed.error)
         disk = self.disks.setdefault(name, disks.MemoryDisk())
         self.processes[name] = control_process.ControlProcess(
-            checked.ok,
+            parsed.ok,
             peers_address=f"{name}:7000",
             carrier=Carrier(self, name),
             clock=self.clock,
@@ -83,21 +97,23 @@
         )
 
     def stop(self, name: str) -> None:
-        """End a process."""
+        """Stop a process and break its links; its disk remains."""
         del self.processes[name]
         for pair in [pair for pair in self.links if name in pair]:
             self.unlink(*pair)
 
-    def reaches(self, one: str, other: str) -> bool:
-        """Tell whether no cut stands between two processes."""
-        together = not self.halves or any(
-            {one, other} <= half for half in self.halves
+    def can_reach(self, one: str, other: str) -> bool:
+        """Return whether two processes run in the same partition."""
+        is_connected = not self.partitions or any(
+            {one, other} <= group for group in self.partitions
+        )
+        return (
+            is_connected and one in self.processes and other in self.processes
         )
-        return together and one in self.processes and other in self.processes
 
     def dial(self, one: str, other: str) -> None:
-        """Link two processes, or fail the dial."""
-        if not self.reaches(one, other):
+        """Link two processes, or report a failed dial to the first."""
+        if not self.can_reach(one, other):
             self.processes[one].link_down(other, 0)
             return
         self.links.add(frozenset((one, other)))
@@ -106,46 +122,56 @@
             self.processes[name].link_up(peer, hello, served)
 
     def unlink(self, one: str, other: str) -> None:
-        """Break a link."""
+        """Break the link between two processes, if any."""
         if frozenset((one, other)) in self.links:
             self.links.remove(frozenset((one, other)))
             for name, peer in ((one, other), (other, one)):
                 if name in self.processes:
                     self.processes[name].link_down(peer, 0)
 
-    def cut(self, *halves: set[str]) -> None:
-        """Cut the processes apart; nothing heals the cut."""
-        self.halves = halves
+    def partition(self, *partitions: set[str]) -> None:
+        """Partition the network until ``partitions`` is reset.
+
+        Args:
+            partitions: Names of the processes of each partition.
+        """
+        self.partitions = partitions
         for one, other in [tuple(pair) for pair in self.links]:
-            if not self.reaches(one, other):
+            if not self.can_reach(one, other):
                 self.unlink(one, other)
 
-    def run(self, by_ms: int) -> None:
-        """Let time pass and messages arrive."""
-        for _ in range(by_ms // STEP_MS):
+    def run(self, duration_ms: int) -> None:
+        """Advance the time in steps and deliver messages."""
+        for _ in range(duration_ms // STEP_MS):
             self.clock.advance(STEP_MS)
             for process in list(self.processes.values()):
                 process.tick()
             for _ in range(20):
-                arriving, self.wire = self.wire, []
-                for source, target, message in arriving:
-                    if frozenset((source, target)) in self.links:
-                        self.arrived.append(message)
-                        self.processes[target].link_message(source, message)
+                batch, self.in_transit = self.in_transit, []
+                for source, destination, message in batch:
+                    if frozenset((source, destination)) in self.links:
+                        self.delivered.append(message)
+                        self.processes[destination].link_message(
+                            source, message
+                        )
 
     def leaders(self) -> list[str]:
-        """Return who believes that it leads."""
+        """Return the processes that consider themselves leader."""
         return [n for n, p in self.processes.items() if p.raft.is_leader]
 
     def voters(self, at: str) -> set[str]:
-        """Return the voters as one process knows them."""
+        """Return the names of the voters that one process knows."""
         return {rafts.process_name(v) for v in self.processes[at].raft.voters}
 
 
-def founded(*more: str) -> Net:
-    """Return a net that its seeds have founded, and others joined."""
-    net = Net()
-    for name in SEEDS + list(more):
+def founded_network(*joiners: str) -> Network:
+    """Return a network whose founders have started, with joined processes.
+
+    Args:
+        joiners: Names of processes that join in addition to the founders.
+    """
+    net = Network()
+    for name in FOUNDERS + list(joiners):
         net.start(name, found=True)
     net.run(4000)
     return net
