--- a/bench/convergence.py
+++ b/bench/convergence.py
@@ -74,14 +74,14 @@
         for start in range(0, self.size, 25):
             fleet.start(*self.proxies[start : start + 25])
             time.sleep(1)
-        fleet.say("apply bench.yaml", document=DOCUMENT)
+        fleet.execute("apply bench.yaml", document=DOCUMENT)
         fleet.wait_ready(self.size, 120)
 
     def sent(self) -> dict[str, int]:
         """Return the control bytes that all processes sent, by kind."""
         total: dict[str, int] = {}
         for name in self.proxies + self.fleet.control_names:
-            answer = self.fleet.try_say("show bytes", at=name)
+            answer = self.fleet.try_execute("show bytes", at=name)
             for row in answer["rows"] if answer else ():
                 kind = row["kind"]
                 total[kind] = total.get(kind, 0) + row["bytes"]
@@ -140,7 +140,7 @@
         for _ in range(count):
             self.changes += 1
             word = "drain" if self.changes % 2 else "undrain"
-            answer = self.fleet.say(f"{word} nobody", at="control1")
+            answer = self.fleet.execute(f"{word} nobody", at="control1")
             revisions.append(answer["revision"])
             time.sleep(0.4)
         time.sleep(2)
--- a/bench/once.py
+++ b/bench/once.py
@@ -25,7 +25,7 @@
 ROUNDS = 4
 
 
-class KeyedShape(load.Shape):
+class KeyedShape(load.RequestTemplate):
     """A payment that draws a new key each time it is sent."""
 
     numbers = itertools.count()
@@ -34,7 +34,7 @@
         """Return the request with a key of its own."""
         now_ms = int(time.time() * 1000) + AHEAD_MS
         key = f"{now_ms}-{next(self.numbers)}-{random.random()}"
-        keyed = load.Shape(
+        keyed = load.RequestTemplate(
             self.method,
             self.path,
             f"Idempotency-Key: {key}\r\n",
@@ -59,7 +59,7 @@
     fleet.start()
     fleet.wait_leader()
     document = (ROOT / "demo" / "matbakh.yaml").read_text(encoding="utf-8")
-    fleet.say("apply matbakh.yaml", document=document)
+    fleet.execute("apply matbakh.yaml", document=document)
     fleet.wait_ready(len(HOSTS))
     for host in HOSTS:
         fleets.wait_for(
@@ -74,7 +74,7 @@
     seconds = options.parse_args().seconds
     shutil.rmtree(FOLDER, ignore_errors=True)
     shapes = {
-        "without key": load.Shape("POST", "/deposits", body=b"x"),
+        "without key": load.RequestTemplate("POST", "/deposits", body=b"x"),
         "with key": KeyedShape("POST", "/deposits", body=b"x"),
     }
     found: dict[str, list[load.Sample]] = {name: [] for name in shapes}
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -55,7 +55,7 @@
     )
     fleet.start()
     fleet.wait_leader()
-    answer = fleet.say("apply bench.yaml", document=DOCUMENT)
+    answer = fleet.execute("apply bench.yaml", document=DOCUMENT)
     assert answer["outcome"] == "done", answer
     fleet.wait_ready(2)
     for host in ("near", "far"):
@@ -71,7 +71,7 @@
 ) -> list[load.Sample]:
     """Send a load and return its samples."""
     sender = load.Load([address], rate, seed=seed)
-    asyncio.run(sender.run(duration_s, [load.Shape(path=path)]))
+    asyncio.run(sender.run(duration_s, [load.RequestTemplate(path=path)]))
     return sender.samples
 
 
@@ -133,7 +133,9 @@
         ("without", fleet.members["t2"].address("http"), "/small"),
     ):
         samples = ask(address, capacity * times, duration_s, path, 7)
-        good = [s for s in samples if s.status == 200 and s.took_us < 300_000]
+        good = [
+            s for s in samples if s.status == 200 and s.latency_us < 300_000
+        ]
         refused = [s for s in samples if s.status == 503]
         figures[who] = {
             "goodput": round(len(good) / duration_s, 1),
--- a/demo/run.py
+++ b/demo/run.py
@@ -43,10 +43,14 @@
 
     def _run(self) -> None:
         shapes = [
-            load.Shape(path="/slots?day=friday"),
-            load.Shape(path="/kitchen/7"),
-            load.Shape(method="POST", path="/deposits", body=b"quote"),
-            load.Shape(method="POST", path="/ovens", body=b"two hours"),
+            load.RequestTemplate(path="/slots?day=friday"),
+            load.RequestTemplate(path="/kitchen/7"),
+            load.RequestTemplate(
+                method="POST", path="/deposits", body=b"quote"
+            ),
+            load.RequestTemplate(
+                method="POST", path="/ovens", body=b"two hours"
+            ),
         ]
         while not self.stopping:
             asyncio.run(self.load.run(1.0, shapes))
@@ -108,17 +112,17 @@
         "risk 5% watch 5s"
     )
     tell(f"  > {line}")
-    answer = fleet.say(line, at="host-ariana-1")
+    answer = fleet.execute(line, at="host-ariana-1")
     tell(f"  {answer['outcome']}: {answer['reason']}")
     told = 0
     until = time.monotonic() + MOVE_WITHIN_S + 15
     while time.monotonic() < until:
-        steps = fleet.try_say("explain tables", at="control1")
+        steps = fleet.try_execute("explain tables", at="control1")
         lines = [row["what"] for row in steps["rows"]] if steps else []
         for step in lines[told:]:
             tell(f"    {step}")
         told = max(told, len(lines))
-        row = fleet.say("is move of tables done", at="control1")["rows"][0]
+        row = fleet.execute("is move of tables done", at="control1")["rows"][0]
         if row["outcome"] != "running":
             tell(f"  {row['outcome']}: {row['reason']}")
             return row["outcome"]
@@ -145,7 +149,7 @@
     leader = fleet.wait_leader()
     tell(f"  {leader} leads")
     document = (DEMO / "matbakh.yaml").read_text(encoding="utf-8")
-    answer = fleet.say("apply matbakh.yaml", document=document)
+    answer = fleet.execute("apply matbakh.yaml", document=document)
     tell(f"  apply matbakh.yaml: {answer['outcome']}, {answer['reason']}")
     fleet.wait_ready(8)
     tell("  in force at all 8 proxies")
--- a/libs/emulator/src/trefoil_emulator/__init__.py
+++ b/libs/emulator/src/trefoil_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""An emulator of targets, and a load tool, for tests, benches and demos."""
+"""Emulated targets and fleets, and a load generator, for tests and benches."""
--- a/libs/emulator/src/trefoil_emulator/behaviour.py
+++ b/libs/emulator/src/trefoil_emulator/behaviour.py
@@ -1,4 +1,4 @@
-"""What a stand-in target is told to do."""
+"""Configurable behaviour of an emulated target."""
 
 import dataclasses
 import json
@@ -8,25 +8,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Behaviour:
-    """How a stand-in target answers.
+    """How an emulated target answers.
 
     Args:
-        delay_ms: Mean time of a request.
-        jitter: Share of the delay that varies.
-        fail_share: Share of requests answered with ``fail_status``.
-        fail_status: Status of those.
-        fail_prefix: Fail or slow down only under this path, if set.
-        slow_factor: How many times slower.
-        after_s: Seconds from the start until the fault shows.
-        above_running: Requests running at once from which it shows.
-        shed: Answer 503 with a note that the request did not run.
+        delay_ms: Mean duration of a request.
+        jitter: Largest deviation from the delay, as a share of it.
+        fail_share: Share of requests answered with ``fail_status`` while
+            the fault is active.
+        fail_status: HTTP status of failed requests.
+        fail_prefix: Path prefix that the fault is limited to; empty for
+            all paths.
+        slow_factor: Factor on the duration while the fault is active.
+        after_s: Seconds from the start until the fault becomes active.
+        above_running: Least number of concurrent requests at which the
+            fault is active.
+        shed: Answer 503 with a header that says the request did not run.
         hang: Never answer.
-        crash_word: End the process when a request's body has this word.
-        cold_ms: Time from the start in which requests take longer.
-        cold_factor: How many times longer.
-        lie: Answer the health page as healthy whatever happens.
-        workers: Requests that are worked on at once, others wait; 0 for
-            all.
+        crash_word: Exit when the body of a request contains this word.
+        cold_ms: Length of the cold phase after the start.
+        cold_factor: Factor on the duration during the cold phase.
+        lie: Report healthy on the health page even while hanging.
+        workers: Requests that are processed concurrently, others queue; 0
+            for no limit.
     """
 
     delay_ms: float = 5.0
@@ -47,34 +50,42 @@
 
     @classmethod
     def from_json(cls, text: str) -> typing.Self:
-        """Build a behaviour from JSON; unknown keys raise ``TypeError``."""
+        """Return the behaviour that a JSON object describes.
+
+        Args:
+            text: The JSON object; an empty string selects the defaults.
+
+        Raises:
+            TypeError: A key is unknown.
+            ValueError: The text is not valid JSON.
+        """
         return cls(**json.loads(text or "{}"))
 
-    def faulty(self, path: str, age_s: float, running: int) -> bool:
-        """Tell whether the fault shows for a request."""
+    def is_fault_active(self, path: str, age_s: float, running: int) -> bool:
+        """Return whether the fault is active for a request."""
         return (
             path.startswith(self.fail_prefix)
             and age_s >= self.after_s
             and running >= self.above_running
         )
 
-    def time_ms(
+    def duration_ms(
         self, path: str, age_s: float, running: int, rng: random.Random
     ) -> float:
-        """Draw how long a request takes."""
-        spread = rng.uniform(1 - self.jitter, 1 + self.jitter)
-        time_ms = self.delay_ms * spread
+        """Draw the duration of a request in milliseconds."""
+        variation = rng.uniform(1 - self.jitter, 1 + self.jitter)
+        duration_ms = self.delay_ms * variation
         if age_s * 1000 < self.cold_ms:
-            time_ms *= self.cold_factor
-        if self.faulty(path, age_s, running):
-            time_ms *= self.slow_factor
-        return time_ms
+            duration_ms *= self.cold_factor
+        if self.is_fault_active(path, age_s, running):
+            duration_ms *= self.slow_factor
+        return duration_ms
 
     def status(
         self, path: str, age_s: float, running: int, rng: random.Random
     ) -> int:
-        """Draw the status of a request."""
-        shows = self.faulty(path, age_s, running)
-        if shows and rng.random() < self.fail_share:
+        """Draw the HTTP status of a request."""
+        is_active = self.is_fault_active(path, age_s, running)
+        if is_active and rng.random() < self.fail_share:
             return self.fail_status
         return 200
--- a/libs/emulator/src/trefoil_emulator/fleet.py
+++ b/libs/emulator/src/trefoil_emulator/fleet.py
@@ -1,6 +1,7 @@
-"""A fleet of real processes on loopback, for tests, benches and demos.
+"""Runs a fleet of real processes on loopback, for tests and benches.
 
-It stands outside the product: trefoilroute's own processes start none.
+The product does not use this module: trefoilroute's own processes start no
+others.
 """
 
 import dataclasses
@@ -23,18 +24,18 @@
 
 LOOPBACK = "127.0.0.1"
 IPS_PER_BLOCK = 250
-STOP_S = 10.0
-SAY_AGAIN_S = 0.05
+STOP_TIMEOUT_S = 10.0
+RETRY_INTERVAL_S = 0.05
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-class NeverCame(Exception):
-    """Something that was waited for did not come in time."""
+class WaitTimeout(Exception):
+    """A condition did not hold within the time limit."""
 
 
 def free_ports(count: int, ip: str) -> list[int]:
-    """Return ports that the kernel has free at an address, all different."""
+    """Return distinct free ports of an IP address."""
     socks = []
     for _ in range(count):
         sock = socket.socket()
@@ -47,42 +48,52 @@
 
 
 def host_ip(number: int) -> str:
-    """Return a loopback address of its own for a host.
+    """Return the loopback address of a host, a different one for each.
 
-    Connections go out from 127.0.0.1. If hosts listened there too, the port
-    that one was given could be taken by a connection before it starts.
+    Outgoing connections use 127.0.0.1. If hosts listened there too, an
+    outgoing connection could occupy a host's port before it starts.
     """
-    block, place = divmod(number, IPS_PER_BLOCK)
-    return f"127.1.{block}.{place + 1}"
+    block, position = divmod(number, IPS_PER_BLOCK)
+    return f"127.1.{block}.{position + 1}"
 
 
 def wait_for(
     what: str,
     condition: typing.Callable[[], typing.Any],
     within_s: float = 20.0,
-    pause_s: float = 0.05,
+    interval_s: float = 0.05,
 ) -> typing.Any:
-    """Return what a condition gives once it holds.
+    """Wait until a condition returns a true value.
+
+    Args:
+        what: Description of the condition for the error message.
+        condition: Function that is called until its result is true.
+        within_s: Time limit in seconds.
+        interval_s: Pause between two checks in seconds.
+
+    Returns:
+        The result of the condition.
 
     Raises:
-        NeverCame: It did not hold in time; says how often it was asked for,
-            and the longest pause between two times: a machine that stood
-            still shows there.
+        WaitTimeout: The condition did not hold in time. The message has the
+            number of checks and the longest interval between two, which
+            shows whether the machine stalled.
     """
-    asked_s = [time.monotonic()]
-    until = asked_s[0] + within_s
+    checked_s = [time.monotonic()]
+    deadline = checked_s[0] + within_s
     while True:
-        found = condition()
-        if found:
-            return found
-        asked_s.append(time.monotonic())
-        if asked_s[-1] >= until:
-            pauses = [b - a for a, b in itertools.pairwise(asked_s)]
-            raise NeverCame(
-                f"{what}: not within {within_s} s, asked {len(pauses)} times "
-                f"with pauses of {max(pauses):.2f} s at most"
+        value = condition()
+        if value:
+            return value
+        checked_s.append(time.monotonic())
+        if checked_s[-1] >= deadline:
+            intervals_s = [b - a for a, b in itertools.pairwise(checked_s)]
+            raise WaitTimeout(
+                f"{what}: timed out after {within_s} s and "
+                f"{len(intervals_s)} checks with intervals of up to "
+                f"{max(intervals_s):.2f} s"
             )
-        time.sleep(pause_s)
+        time.sleep(interval_s)
 
 
 @dataclasses.dataclass(slots=True)
@@ -90,11 +101,12 @@
     """One process of the fleet.
 
     Args:
-        name: Its name.
+        name: Name of the process.
         command: Its command line.
-        ports: Its ports by what they are for.
+        ports: Its ports by purpose.
         domain: Its failure domain.
-        ip: Address of its host.
+        ip: IP address of its host.
+        process: The running process, once started.
     """
 
     name: str
@@ -105,59 +117,62 @@
     process: subprocess.Popen | None = None
 
     def state(self, log: pathlib.Path) -> str:
-        """Return what the process is doing, as the kernel tells it.
+        """Return a description of the process state for error messages.
 
         Args:
-            log: Where it writes.
+            log: Its log file.
         """
-        written = log.stat().st_size if log.exists() else 0
-        ended = self.process.poll()
-        if ended is not None:
-            return f"{self.name}: ended with {ended}, {written} bytes of log"
+        log_bytes = log.stat().st_size if log.exists() else 0
+        exit_code = self.process.poll()
+        if exit_code is not None:
+            return (
+                f"{self.name}: exited with {exit_code}, "
+                f"{log_bytes} bytes of log"
+            )
         proc = pathlib.Path("/proc") / str(self.process.pid)
-        # After the name in brackets, which may hold spaces.
+        # Skip the command name in parentheses, which may contain spaces.
         fields = (proc / "stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[11]) + int(fields[12])
-        used_s = ticks / os.sysconf("SC_CLK_TCK")
-        waits_in = (proc / "wchan").read_text() or "?"
+        cpu_s = ticks / os.sysconf("SC_CLK_TCK")
+        wait_channel = (proc / "wchan").read_text() or "?"
         return (
-            f"{self.name}: state {fields[0]} in {waits_in}, "
-            f"{used_s:.2f} s of processor time, {written} bytes of log"
+            f"{self.name}: state {fields[0]} in {wait_channel}, "
+            f"{cpu_s:.2f} s of CPU time, {log_bytes} bytes of log"
         )
 
     def address(self, port: str) -> str:
-        """Return the address of one of its ports."""
+        """Return the address of the port for a purpose."""
         return f"{self.ip}:{self.ports[port]}"
 
     @property
     def pid(self) -> int:
-        """Return its process id."""
+        """Return the process id."""
         return self.process.pid
 
     @property
     def cpu_s(self) -> float:
-        """Return its processor time in seconds."""
+        """Return the CPU time in seconds."""
         stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
         fields = stat.split()
         return (int(fields[13]) + int(fields[14])) / TICKS_PER_S
 
     @property
     def rss_mb(self) -> float:
-        """Return its resident memory in MB."""
+        """Return the resident memory in MB."""
         pages = pathlib.Path(f"/proc/{self.pid}/statm").read_text().split()
         return int(pages[1]) * PAGE_BYTES / 1e6
 
 
 class LocalFleet:
-    """Processes of one deployment, their settings and logs in a folder.
+    """Processes of one deployment, with settings and logs in a folder.
 
     Args:
-        folder: Where settings, data folders and logs go.
+        folder: Folder for settings, data folders and logs.
         domains: Names of the failure domains.
-        controls: How many control processes.
-        seeds_per_domain: How many proxies of a domain are its seeds.
-        control_extra: More settings of control processes.
-        proxy_extra: More settings of proxies.
+        controls: Number of control processes.
+        seeds_per_domain: Number of seeds in each failure domain.
+        control_extra: Additional settings of control processes.
+        proxy_extra: Additional settings of proxies.
     """
 
     def __init__(
@@ -195,16 +210,16 @@
 
     @property
     def controls(self) -> dict[str, str]:
-        """Return the control processes' addresses."""
+        """Return the peer addresses of the control processes by name."""
         return {
             name: f"{self.control_ips[name]}:{ports['peers']}"
             for name, ports in self.control_ports.items()
         }
 
-    # Building
+    # Setup
 
     def add_controls(self) -> None:
-        """Write the control processes' settings and prepare their data."""
+        """Add the control processes and initialize their data folders."""
         for at, name in enumerate(self.control_names):
             ports = self.control_ports[name]
             ip = self.control_ips[name]
@@ -231,10 +246,10 @@
             )
 
     def add_proxies(self, hosts: dict[str, str]) -> None:
-        """Write the settings of proxies.
+        """Add proxies, the first ones of each domain as seeds.
 
         Args:
-            hosts: Failure domain of each host by name.
+            hosts: Failure domains by name of the host.
         """
         kinds = ("callers", "peers", "admin")
         for host, domain in hosts.items():
@@ -271,7 +286,7 @@
         resources: str = "",
         behave: dict[str, typing.Any] | None = None,
     ) -> None:
-        """Add a stand-in target on a host."""
+        """Add an emulated target on a host; see ``target.run``."""
         ip = self.members[host].ip
         port = free_ports(1, ip)[0]
         command = [
@@ -301,7 +316,7 @@
     # Running
 
     def start(self, *names: str) -> None:
-        """Start processes, all of them by default."""
+        """Start the named processes; all of them by default."""
         for name in names or list(self.members):
             member = self.members[name]
             log = open(self.folder / f"{name}.log", "ab")
@@ -311,22 +326,22 @@
             log.close()
 
     def kill(self, *names: str) -> None:
-        """Kill processes as a crash would."""
+        """Kill processes with SIGKILL, as in a crash."""
         for name in names:
             process = self.members[name].process
             process.kill()
             process.wait()
 
-    def freeze(self, name: str) -> None:
-        """Stop a process without ending it."""
+    def pause(self, name: str) -> None:
+        """Suspend a process with SIGSTOP."""
         os.kill(self.members[name].pid, signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+    def resume(self, name: str) -> None:
+        """Resume a suspended process."""
         os.kill(self.members[name].pid, signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
-        """Ask a process to end."""
+        """Send SIGTERM to a process."""
         self.members[name].process.terminate()
 
     def lose_disk(self, name: str) -> None:
@@ -334,7 +349,7 @@
         shutil.rmtree(self.folder / f"{name}.data")
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill all processes and wait for their exit."""
         running = [
             member.process
             for member in self.members.values()
@@ -343,7 +358,7 @@
         for process in running:
             process.kill()
         for process in running:
-            process.wait(STOP_S)
+            process.wait(STOP_TIMEOUT_S)
 
     def __enter__(self) -> typing.Self:
         return self
@@ -351,9 +366,9 @@
     def __exit__(self, *failure: object) -> None:
         self.stop()
 
-    # Speaking to it
+    # Requests
 
-    def say(
+    def execute(
         self,
         text: str,
         *,
@@ -363,36 +378,56 @@
         operator: str = "tester",
         wait_s: float = 20.0,
     ) -> dict[str, typing.Any]:
-        """Say a line of the operators' language to a process."""
+        """Execute a line of the operator language at a process.
+
+        Args:
+            text: The line.
+            at: Name of the process that receives it.
+            document: Text of the document that the line refers to.
+            number: Number that identifies the line; a new one by default.
+            operator: Name of the operator.
+            wait_s: Time limit in seconds.
+
+        Returns:
+            The answer.
+
+        Raises:
+            Unreachable: The process does not answer.
+            Refused: The process refuses the line.
+        """
         self.numbers += 1
         number = number or f"{int(time.time() * 1000)}-{self.numbers}"
         line = client.Line.numbered(text, number, operator, document)
         member = self.members[at]
-        until = time.monotonic() + wait_s
+        deadline = time.monotonic() + wait_s
         while True:
             try:
-                speaker = client.Client(member.address("admin"))
-                return speaker.settle(line, wait_s)
+                operator_client = client.Client(member.address("admin"))
+                return operator_client.settle(line, wait_s)
             except client.Unreachable:
-                # Two of three control processes may lead and agree before
-                # the third has opened its port. The line keeps its number,
-                # so it runs once however often it is said.
-                starting = member.process and member.process.poll() is None
-                if not starting or time.monotonic() >= until:
+                # Two of three control processes can elect a leader and
+                # commit before the third one listens. The line keeps its
+                # number, so it runs only once however often it is sent.
+                is_running = member.process and member.process.poll() is None
+                if not is_running or time.monotonic() >= deadline:
                     raise
-            time.sleep(SAY_AGAIN_S)
+            time.sleep(RETRY_INTERVAL_S)
 
-    def try_say(self, text: str, **options: typing.Any) -> typing.Any:
-        """Say a line; None if nothing answers."""
+    def try_execute(self, text: str, **options: typing.Any) -> typing.Any:
+        """Execute a line; None if it is refused or nothing answers."""
         try:
-            return self.say(text, **options)
+            return self.execute(text, **options)
         except (client.Unreachable, client.Refused):
             return None
 
-    def leader(self, among: typing.Iterable[str] = ()) -> str:
-        """Return the name of the control process that leads, or nothing."""
-        for name in among or self.control_names:
-            answer = self.try_say("show controls", at=name, wait_s=2)
+    def leader(self, names: typing.Iterable[str] = ()) -> str:
+        """Return the name of the leader, or an empty string.
+
+        Args:
+            names: Control processes to query; all of them by default.
+        """
+        for name in names or self.control_names:
+            answer = self.try_execute("show controls", at=name, wait_s=2)
             if not answer or not answer["confirmed"]:
                 continue
             for row in answer["rows"]:
@@ -401,20 +436,21 @@
         return ""
 
     def wait_leader(self, within_s: float = 20.0) -> str:
-        """Return the control process that leads, once one does.
+        """Wait until there is a leader and return its name.
 
         Raises:
-            NeverCame: None did in time; says what each process was doing,
-                which tells one that waits from one that got no processor.
+            WaitTimeout: There was none in time. The message has the state
+                of each process, which distinguishes one that waits from one
+                that got no CPU time.
         """
         try:
             return wait_for("a leader", self.leader, within_s)
-        except NeverCame as error:
+        except WaitTimeout as error:
             states = "\n".join(self.states())
-            raise NeverCame(f"{error}\n{states}") from error
+            raise WaitTimeout(f"{error}\n{states}") from error
 
     def states(self) -> list[str]:
-        """Return a line on each started process: state, time used, log."""
+        """Return a description of the state of each started process."""
         return [
             member.state(self.folder / f"{member.name}.log")
             for member in self.members.values()
@@ -422,12 +458,20 @@
         ]
 
     def in_force(self, at: str = "control1") -> list[dict[str, typing.Any]]:
-        """Return what is in force at each host, as reported."""
-        answer = self.try_say("in force by host", at=at)
+        """Return the reported revision in force by host."""
+        answer = self.try_execute("in force by host", at=at)
         return answer["rows"] if answer else []
 
     def wait_ready(self, proxies: int, within_s: float = 30.0) -> None:
-        """Wait until some proxies report the newest configuration."""
+        """Wait until proxies report the newest configuration as in force.
+
+        Args:
+            proxies: How many proxies have to report it.
+            within_s: Time limit in seconds.
+
+        Raises:
+            WaitTimeout: Too few proxies reported it in time.
+        """
         wait_for(
             f"{proxies} proxies with a configuration",
             lambda: self._in_force_at(proxies),
@@ -436,14 +480,14 @@
 
     def _in_force_at(self, proxies: int) -> bool:
         for name in self.control_names:
-            answer = self.try_say("in force", at=name, wait_s=2)
+            answer = self.try_execute("in force", at=name, wait_s=2)
             if answer and answer["confirmed"]:
                 rows = answer["rows"]
                 return sum(row["in_force_at"] for row in rows) >= proxies
         return False
 
     def behave(self, target: str, **behaviour: typing.Any) -> None:
-        """Tell a stand-in target how to behave from now on."""
+        """Change the behaviour of an emulated target."""
         http(
             f"http://{self.members[target].address('http')}/-/behave",
             method="PUT",
@@ -451,25 +495,25 @@
         )
 
     def stats(self, target: str) -> dict[str, typing.Any]:
-        """Return what a stand-in target counted."""
+        """Return the counters of an emulated target."""
         address = self.members[target].address("http")
         return json.loads(http(f"http://{address}/-/stats").body)
 
     def call(
         self, host: str, path: str, **options: typing.Any
     ) -> "HttpAnswer":
-        """Send a caller's request to a proxy."""
+        """Send a caller's request to a proxy; see ``http`` for options."""
         address = self.members[host].address("callers")
         return http(f"http://{address}{path}", **options)
 
     def log(self, name: str) -> str:
-        """Return a process's log."""
+        """Return the log of a process."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
 
 @dataclasses.dataclass(slots=True)
 class HttpAnswer:
-    """An HTTP answer; status 0 if none came."""
+    """HTTP answer; a status of 0 means that none was received."""
 
     status: int
     body: bytes = b""
@@ -484,7 +528,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> HttpAnswer:
-    """Send one HTTP request and return its answer, whatever its status."""
+    """Send an HTTP request and return the answer, whatever its status."""
     request = urllib.request.Request(
         url, data=body, method=method, headers=headers or {}
     )
@@ -500,7 +544,8 @@
 
 
 def _python(module: str, function: str, *arguments: str) -> list[str]:
-    # A process that writes nothing more was stopped by its imports, or later.
+    # The output shows whether a process stalled before, during or after
+    # its imports.
     code = (
         "print('loading', flush=True); "
         f"import {module} as main; "
--- a/libs/emulator/src/trefoil_emulator/load.py
+++ b/libs/emulator/src/trefoil_emulator/load.py
@@ -1,4 +1,4 @@
-"""A load tool: open-loop arrivals over kept-alive connections."""
+"""Open-loop load generator over persistent connections."""
 
 import asyncio
 import dataclasses
@@ -10,34 +10,34 @@
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """One request's fate.
+    """Outcome of one request.
 
     Args:
-        at_s: When it was due, from the start of the load.
-        took_us: Time from when it was due to its whole answer; a request
-            held back by the tool itself counts its wait, so a slow system
-            can't hide it (coordinated omission).
-        status: HTTP status; 0 if the answer never came whole.
+        due_s: Scheduled time, from the start of the load.
+        latency_us: Time from the scheduled time to the complete answer. It
+            includes delays of the load generator itself, which avoids
+            coordinated omission.
+        status: HTTP status; 0 without a complete answer.
         body: Body of the answer.
-        headers: Head of the answer.
+        headers: Status line and headers of the answer.
     """
 
-    at_s: float
-    took_us: int
+    due_s: float
+    latency_us: int
     status: int
     body: bytes = b""
     headers: bytes = b""
 
 
 @dataclasses.dataclass(slots=True)
-class Shape:
-    """What is sent.
+class RequestTemplate:
+    """Request that the load generator sends.
 
     Args:
         method: HTTP method.
         path: Path and query.
-        headers: Header lines, each ended by CR LF.
-        body: Body.
+        headers: Header lines, each terminated by CR LF.
+        body: Body of the request.
     """
 
     method: str = "GET"
@@ -46,18 +46,18 @@
     body: bytes = b""
 
     def to_bytes(self) -> bytes:
-        """Return the request."""
+        """Return the encoded request."""
         head = f"{self.method} {self.path} HTTP/1.1\r\nHost: demo\r\n"
         if self.body:
             head += f"Content-Length: {len(self.body)}\r\n"
         return (head + self.headers + "\r\n").encode() + self.body
 
 
-class Connections:
-    """Kept-alive connections to one address.
+class ConnectionPool:
+    """Pool of persistent connections to one address.
 
     Args:
-        address: IP number and port.
+        address: IP address and port, separated by a colon.
     """
 
     __slots__ = ("host", "port", "idle")
@@ -67,17 +67,31 @@
         self.port = int(port)
         self.idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
-    async def ask(
-        self, shape: Shape, timeout_s: float
+    async def send(
+        self, template: RequestTemplate, timeout_s: float
     ) -> tuple[int, bytes, bytes]:
-        """Send a request; return status, head and body of the answer."""
+        """Send a request on an idle or a new connection.
+
+        Args:
+            template: The request.
+            timeout_s: Longest wait for the answer.
+
+        Returns:
+            Status, head and body of the answer.
+
+        Raises:
+            OSError: The connection failed.
+            TimeoutError: The answer was not complete in time.
+            EOFError: The connection closed before the answer was complete.
+            ValueError: The answer is malformed.
+        """
         pair = self.idle.pop() if self.idle else None
         if pair is None:
             pair = await asyncio.open_connection(self.host, self.port)
         reader, writer = pair
         try:
-            writer.write(shape.to_bytes())
-            answer = await asyncio.wait_for(_read(reader, shape), timeout_s)
+            writer.write(template.to_bytes())
+            answer = await asyncio.wait_for(_read(reader, template), timeout_s)
         except BaseException:
             writer.close()
             raise
@@ -88,14 +102,14 @@
         return answer
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close all idle connections."""
         for _, writer in self.idle:
             writer.close()
         self.idle = []
 
 
 async def _read(
-    reader: asyncio.StreamReader, shape: Shape
+    reader: asyncio.StreamReader, template: RequestTemplate
 ) -> tuple[int, bytes, bytes]:
     head = await reader.readuntil(b"\r\n\r\n")
     status = int(head.split(b" ", 2)[1])
@@ -104,18 +118,18 @@
         if line.startswith(b"content-length:"):
             length = int(line.partition(b":")[2])
     body = b""
-    if length and shape.method != "HEAD":
+    if length and template.method != "HEAD":
         body = await reader.readexactly(length)
     return status, head, body
 
 
 class Load:
-    """Sends requests to addresses at a rate, whatever the answers.
+    """Sends requests at a given rate, independent of the answers.
 
     Args:
-        addresses: Where; each request goes to one at random.
-        rate: Requests a second in all.
-        seed: Seeds the arrivals.
+        addresses: Addresses; each request goes to a random one.
+        rate: Requests per second to all addresses together.
+        seed: Seed of the random generator.
         timeout_s: Longest wait for an answer.
     """
 
@@ -129,24 +143,31 @@
         seed: int = 1,
         timeout_s: float = 5.0,
     ) -> None:
-        self.pools = [Connections(address) for address in addresses]
+        self.pools = [ConnectionPool(address) for address in addresses]
         self.rate = rate
         self.rng = random.Random(seed)
         self.timeout_s = timeout_s
         self.samples: list[Sample] = []
 
-    async def run(self, duration_s: float, shapes: list[Shape]) -> None:
-        """Send for a while; samples are collected."""
-        start = time.perf_counter()
-        due = 0.0
+    async def run(
+        self, duration_s: float, templates: list[RequestTemplate]
+    ) -> None:
+        """Send requests for some time and collect their samples.
+
+        Args:
+            duration_s: How long requests are sent.
+            templates: Requests; each arrival sends a random one.
+        """
+        start_s = time.perf_counter()
+        due_s = 0.0
         tasks = set()
-        while due < duration_s:
-            due += self.rng.expovariate(self.rate)
-            pause = start + due - time.perf_counter()
-            if pause > 0:
-                await asyncio.sleep(pause)
+        while due_s < duration_s:
+            due_s += self.rng.expovariate(self.rate)
+            wait_s = start_s + due_s - time.perf_counter()
+            if wait_s > 0:
+                await asyncio.sleep(wait_s)
             task = asyncio.create_task(
-                self._one(start, due, self.rng.choice(shapes))
+                self._send_one(start_s, due_s, self.rng.choice(templates))
             )
             tasks.add(task)
             task.add_done_callback(tasks.discard)
@@ -155,21 +176,23 @@
         for pool in self.pools:
             pool.close()
 
-    async def _one(self, start: float, due: float, shape: Shape) -> None:
+    async def _send_one(
+        self, start_s: float, due_s: float, template: RequestTemplate
+    ) -> None:
         pool = self.rng.choice(self.pools)
         status, head, body = 0, b"", b""
         try:
-            status, head, body = await pool.ask(shape, self.timeout_s)
+            status, head, body = await pool.send(template, self.timeout_s)
         except (OSError, asyncio.TimeoutError, EOFError, ValueError):
             status = 0
-        took_us = int((time.perf_counter() - start - due) * 1e6)
-        self.samples.append(Sample(due, took_us, status, body, head))
+        latency_us = int((time.perf_counter() - start_s - due_s) * 1e6)
+        self.samples.append(Sample(due_s, latency_us, status, body, head))
 
 
 def quantile_us(samples: list[Sample], quantile: float) -> int:
-    """Return a quantile of the latencies in microseconds."""
-    ordered = sorted(sample.took_us for sample in samples)
+    """Return a quantile of the latencies in microseconds; 0 if empty."""
+    ordered = sorted(sample.latency_us for sample in samples)
     if not ordered:
         return 0
-    at = min(int(quantile * len(ordered)), len(ordered) - 1)
-    return ordered[at]
+    index = min(int(quantile * len(ordered)), len(ordered) - 1)
+    return ordered[index]
--- a/libs/emulator/src/trefoil_emulator/target.py
+++ b/libs/emulator/src/trefoil_emulator/target.py
@@ -1,4 +1,4 @@
-"""A stand-in target: an HTTP server that announces itself to its proxy."""
+"""Emulated target: an HTTP server that announces itself to its proxy."""
 
 import heapq
 import itertools
@@ -21,27 +21,27 @@
 BEHAVE_PATH = "/-/behave"
 STATS_PATH = "/-/stats"
 HEALTH_PATH = "/-/health"
-ANNOUNCE_MS = 700
+ANNOUNCE_INTERVAL_MS = 700
 TICK_S = 0.002
-MAX_BODY = 16 * 1024 * 1024
-RUNS_KEPT = 100_000
+MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_RUN_KEYS = 100_000
 
 
 class beat(circuits.Event):
-    """Time passes."""
+    """Periodic timer event."""
 
 
 class Target(circuits.BaseComponent):
-    """One stand-in target.
+    """Emulated target.
 
     Args:
-        options: What it is and where it announces itself.
+        options: Its options, as built by ``run``.
     """
 
     channel = "target"
 
     def init(self, options: dict[str, typing.Any]) -> None:
-        """Open the port."""
+        """Listen and start the timer."""
         self.options = options
         self.clock = clocks.SystemClock()
         self.rng = random.Random(options.get("seed"))
@@ -54,17 +54,17 @@
             self.transport,
             self,
             self.clock,
-            limits=http_server.SenderLimits(max_body=MAX_BODY),
+            limits=http_server.SenderLimits(max_body=MAX_BODY_BYTES),
             bad=lambda why: None,
         )
         self.port = self.server.listen(f"{options['ip']}:{options['port']}")
         self.started_ms = self.clock.now_ms()
         self.announce_at_ms = 0
         self.state = "cold" if self.behaviour.cold_ms else "ready"
-        self.under_way: dict[int, http_server.ServerConnection] = {}
+        self.in_flight: dict[int, http_server.ServerConnection] = {}
         self.due: list[tuple[int, int, int]] = []
         self.numbers = itertools.count(1)
-        self.free_us: list[int] = []
+        self.worker_free_us: list[int] = []
         self.runs: dict[str, int] = {}
         self.served = 0
         self.cancelled = 0
@@ -84,12 +84,12 @@
         connection: http_server.ServerConnection,
         message: _http.Message,
     ) -> None:
-        """Take a request."""
+        """Handle a request."""
         if message.path.startswith("/-/"):
             self._control(connection, message)
             return
-        word = self.behaviour.crash_word
-        if word and word.encode() in message.body:
+        crash_word = self.behaviour.crash_word
+        if crash_word and crash_word.encode() in message.body:
             os._exit(1)
         if self.behaviour.shed:
             connection.answer(
@@ -97,55 +97,55 @@
             )
             return
         key = message.field(b"x-request-name")
-        if key and len(self.runs) < RUNS_KEPT:
+        if key and len(self.runs) < MAX_RUN_KEYS:
             self.runs[key] = self.runs.get(key, 0) + 1
-            self._keep_run(key)
+            self._append_run(key)
         number = next(self.numbers)
-        self.under_way[number] = connection
+        self.in_flight[number] = connection
         if self.behaviour.hang:
             return
-        took_ms = self.behaviour.time_ms(
-            message.path, self.age_s, len(self.under_way), self.rng
+        duration_ms = self.behaviour.duration_ms(
+            message.path, self.age_s, len(self.in_flight), self.rng
         )
-        if took_ms < 1:
+        if duration_ms < 1:
             self._finish(number)
             return
-        due_us = self._begin_us() + int(took_ms * 1000)
+        due_us = self._start_us() + int(duration_ms * 1000)
         if self.behaviour.workers:
-            heapq.heapreplace(self.free_us, due_us)
+            heapq.heapreplace(self.worker_free_us, due_us)
         heapq.heappush(self.due, (due_us, number, 0))
 
-    def _keep_run(self, key: str) -> None:
-        """Write down that a request runs, for after this process's death."""
+    def _append_run(self, key: str) -> None:
+        """Append a run to the file, so that it survives a crash."""
         path = self.options.get("runs_file")
         if path:
             with open(path, "a", encoding="utf-8") as runs:
                 runs.write(f"{key}\n")
 
-    def _begin_us(self) -> int:
-        """Return when a worker is free for the next request."""
+    def _start_us(self) -> int:
+        """Return when a worker can start the next request."""
         now_us = self.clock.now_us()
         workers = self.behaviour.workers
         if not workers:
             return now_us
-        if len(self.free_us) != workers:
-            self.free_us = [now_us] * workers
-        return max(now_us, self.free_us[0])
+        if len(self.worker_free_us) != workers:
+            self.worker_free_us = [now_us] * workers
+        return max(now_us, self.worker_free_us[0])
 
     def gone(self, connection: http_server.ServerConnection) -> None:
-        """Note a request that its proxy cancelled."""
-        for number, running in list(self.under_way.items()):
+        """Drop the request of a closed connection as cancelled."""
+        for number, running in list(self.in_flight.items()):
             if running is connection:
-                del self.under_way[number]
+                del self.in_flight[number]
                 self.cancelled += 1
 
     def _finish(self, number: int) -> None:
-        connection = self.under_way.pop(number, None)
+        connection = self.in_flight.pop(number, None)
         if connection is None or connection.request is None:
             return
         request = connection.request
         status = self.behaviour.status(
-            request.path, self.age_s, len(self.under_way) + 1, self.rng
+            request.path, self.age_s, len(self.in_flight) + 1, self.rng
         )
         self.served += 1
         body = json.dumps(
@@ -156,8 +156,8 @@
                 "echo": request.body.decode("latin-1")[:200],
             }
         ).encode()
-        kind = b"Content-Type: application/json\r\n"
-        connection.answer(status, "OK", kind, body)
+        content_type = b"Content-Type: application/json\r\n"
+        connection.answer(status, "OK", content_type, body)
 
     def _control(
         self,
@@ -174,15 +174,15 @@
             body = json.dumps(
                 {
                     "served": self.served,
-                    "running": len(self.under_way),
+                    "running": len(self.in_flight),
                     "cancelled": self.cancelled,
                     "runs": self.runs,
                 }
             ).encode()
             connection.answer(200, "OK", b"", body)
         elif message.path == HEALTH_PATH:
-            sound = self.behaviour.lie or not self.behaviour.hang
-            connection.answer(200 if sound else 500, "OK")
+            is_healthy = self.behaviour.lie or not self.behaviour.hang
+            connection.answer(200 if is_healthy else 500, "OK")
         else:
             connection.answer(404, "Not Found")
 
@@ -195,9 +195,9 @@
             self._finish(heapq.heappop(self.due)[1])
         now_ms = self.clock.now_ms()
         if now_ms >= self.announce_at_ms:
-            self.announce_at_ms = now_ms + ANNOUNCE_MS
-            cold = self.age_s * 1000 < self.behaviour.cold_ms
-            self.state = "cold" if cold else "ready"
+            self.announce_at_ms = now_ms + ANNOUNCE_INTERVAL_MS
+            is_cold = self.age_s * 1000 < self.behaviour.cold_ms
+            self.state = "cold" if is_cold else "ready"
             self._announce()
 
     def _announce(self) -> None:
@@ -240,26 +240,29 @@
     announced_port: int = 0,
     runs_file: str = "",
 ) -> None:
-    """Run a stand-in target.
+    """Run an emulated target.
 
     Args:
-        name: Its name on its host.
-        service: The service that it belongs to.
+        name: Name of the target, unique on its host.
+        service: Service that it belongs to.
         version: Its version.
-        proxy: Address of its proxy's interface for targets.
-        ip: Address of its host.
-        port: Where it takes requests; 0 lets the kernel choose.
-        slots: Requests that it runs at once.
-        resources: Names of what it holds, separated by commas.
+        proxy: Address of its proxy's admin listener; empty to announce
+            nothing.
+        ip: IP address to listen on.
+        port: Port to listen on; 0 lets the kernel choose.
+        slots: Requests that it can run concurrently.
+        resources: Names of the resources that it holds, separated by
+            commas.
         behave: Its behaviour as JSON.
-        seed: Seeds its random generator.
-        tick_s: How exactly it keeps its delays, in seconds.
-        announced_port: Port that it tells its proxy, where a relay stands
-            before it; 0 for its own.
-        runs_file: File that lists the requests that ran; empty for none.
+        seed: Seed of its random generator.
+        tick_s: Resolution of its delays in seconds.
+        announced_port: Port to announce if a relay forwards to the target;
+            0 for its own.
+        runs_file: File to which the names of executed requests are
+            appended; empty for none.
     """
-    listed = isinstance(resources, (list, tuple))
-    held = resources if listed else str(resources).split(",")
+    is_list = isinstance(resources, (list, tuple))
+    resource_names = resources if is_list else str(resources).split(",")
     options = {
         "name": str(name),
         "service": str(service),
@@ -268,7 +271,9 @@
         "ip": ip,
         "port": port,
         "slots": slots,
-        "resources": [str(word) for word in held if word],
+        "resources": [
+            str(resource) for resource in resource_names if resource
+        ],
         "behave": behave if isinstance(behave, str) else json.dumps(behave),
         "seed": seed,
         "tick_s": tick_s,
--- a/libs/emulator/tests/test_fleet.py
+++ b/libs/emulator/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What a fleet of processes tells of a start that comes to nothing."""
+"""State descriptions of processes that a fleet has started."""
 
 import pathlib
 import subprocess
@@ -7,28 +7,31 @@
 from trefoil_emulator import fleet as fleets
 
 
-def member(code: str) -> fleets.Member:
+def start_member(code: str) -> fleets.Member:
     """Return a member whose process runs some code."""
-    found = fleets.Member("one", [sys.executable, "-c", code], {})
-    found.process = subprocess.Popen(found.command)
-    return found
+    member = fleets.Member("one", [sys.executable, "-c", code], {})
+    member.process = subprocess.Popen(member.command)
+    return member
 
 
-def test_a_process_that_waits_says_so(tmp_path: pathlib.Path) -> None:
-    """It wrote nothing; a leader that never came could not be traced."""
-    found = member("import time; time.sleep(60)")
+def test_state_of_a_waiting_process(tmp_path: pathlib.Path) -> None:
+    """The state shows why a process that logs nothing does not proceed.
+
+    Without it, a leader that is not elected in time cannot be diagnosed.
+    """
+    member = start_member("import time; time.sleep(60)")
     try:
-        told = found.state(tmp_path / "one.log")
+        description = member.state(tmp_path / "one.log")
     finally:
-        found.process.kill()
-        found.process.wait()
-    assert told.startswith("one: state ")
-    assert told.endswith("s of processor time, 0 bytes of log")
+        member.process.kill()
+        member.process.wait()
+    assert description.startswith("one: state ")
+    assert description.endswith("s of CPU time, 0 bytes of log")
 
 
-def test_a_process_that_ended_says_how(tmp_path: pathlib.Path) -> None:
-    found = member("raise SystemExit(3)")
-    found.process.wait()
+def test_state_of_an_exited_process(tmp_path: pathlib.Path) -> None:
+    member = start_member("raise SystemExit(3)")
+    member.process.wait()
     log = tmp_path / "one.log"
     log.write_text("why", encoding="utf-8")
-    assert found.state(log) == "one: ended with 3, 3 bytes of log"
+    assert member.state(log) == "one: exited with 3, 3 bytes of log"
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -68,7 +68,7 @@
         made.wait_leader(READY_S)
         operator = watch.Operator(made, self.seed)
         if not operator.change():
-            raise fleets.NeverCame("the first document was not accepted")
+            raise fleets.WaitTimeout("the first document was not accepted")
         self._note(checks.serves_again(made, {operator.number}))
         revisions = watch.Revisions(made)
         sender = caller_store.Callers(made, self.seed)
@@ -133,7 +133,7 @@
     run = Run(seed, folder, lasts_s)
     try:
         run.play()
-    except fleets.NeverCame as error:
+    except fleets.WaitTimeout as error:
         run.problems.append(str(error))
     print(json.dumps(run.report()), flush=True)
     if run.problems and keep:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -61,7 +61,7 @@
 
     def __init__(self, deployment: deployments.Deployment, seed: int) -> None:
         self.pools = {
-            host: load.Connections(deployment.caller_address(host))
+            host: load.ConnectionPool(deployment.caller_address(host))
             for host in deployments.HOSTS
         }
         self.rng = random.Random(seed)
@@ -101,7 +101,7 @@
 
     async def _read(self) -> None:
         name = self._next_name("read")
-        await self._ask(name, "", load.Shape(path=f"/slots/{name}"))
+        await self._ask(name, "", load.RequestTemplate(path=f"/slots/{name}"))
 
     async def _pay(self) -> None:
         payment = self._next_name("pay")
@@ -109,20 +109,22 @@
         for number in range(TRIES):
             name = f"{payment}.{number}"
             headers = f"Idempotency-Key: {key}\r\nX-Request-Name: {name}\r\n"
-            shape = load.Shape("POST", "/deposits", headers, payment.encode())
+            shape = load.RequestTemplate(
+                "POST", "/deposits", headers, payment.encode()
+            )
             found = await self._ask(name, payment, shape)
             if found.status == OK:
                 return
             await asyncio.sleep(0.2)
 
     async def _ask(
-        self, name: str, payment: str, shape: load.Shape
+        self, name: str, payment: str, shape: load.RequestTemplate
     ) -> Attempt:
         host = self.rng.choice(list(self.pools))
         made = Attempt(name, payment, host, time.monotonic())
         self.attempts.append(made)
         try:
-            made.status, _, body = await self.pools[host].ask(shape, ANSWER_S)
+            made.status, _, body = await self.pools[host].send(shape, ANSWER_S)
             if made.status == OK:
                 made.own = _is_own(body, shape)
         except (OSError, asyncio.TimeoutError, EOFError, ValueError):
@@ -132,7 +134,7 @@
         return made
 
 
-def _is_own(body: bytes, shape: load.Shape) -> bool:
+def _is_own(body: bytes, shape: load.RequestTemplate) -> bool:
     try:
         found = json.loads(body)
     except ValueError:
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -108,7 +108,7 @@
 
     try:
         fleets.wait_for("all proxies to serve", all_serve, RECOVER_S, 0.3)
-    except fleets.NeverCame as error:
+    except fleets.WaitTimeout as error:
         return f"{error}; newest document {max(numbers)}"
     return ""
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -76,7 +76,7 @@
         )
         made.start()
         made.wait_leader()
-        made.say("apply matbakh.yaml", document=DOCUMENT)
+        made.execute("apply matbakh.yaml", document=DOCUMENT)
         fleets.wait_for(
             "an answer", lambda: made.call("h1", "/slots").status == 200
         )
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -30,7 +30,7 @@
         )
         made.start()
         made.wait_leader()
-        answer = made.say("apply matbakh.yaml", document=DOCUMENT)
+        answer = made.execute("apply matbakh.yaml", document=DOCUMENT)
         assert answer["outcome"] == "done"
         made.wait_ready(4)
         yield made
@@ -44,7 +44,7 @@
 def change(fleet: fleets.LocalFleet, number: int, at: str) -> str:
     """Drain or undrain a host; return the outcome."""
     word = "drain" if number % 2 else "undrain"
-    answer = fleet.say(f"{word} h{number % 3 + 5}", at=at, wait_s=15)
+    answer = fleet.execute(f"{word} h{number % 3 + 5}", at=at, wait_s=15)
     return answer["outcome"]
 
 
@@ -67,12 +67,12 @@
     for number in range(12):
         line = f"drain d{number}"
         name = f"{int(time.time() * 1000)}-{number}"
-        answer = fleet.say(line, at=at, number=name, wait_s=20)
+        answer = fleet.execute(line, at=at, number=name, wait_s=20)
         told[name] = (line, answer["outcome"])
     killer.join()
     assert {outcome for _, outcome in told.values()} == {"done"}
     for name, (line, outcome) in told.items():
-        again = fleet.say(line, at=at, number=name)
+        again = fleet.execute(line, at=at, number=name)
         assert again["outcome"] == outcome
     fleet.wait_ready(4)
 
@@ -85,7 +85,7 @@
     """
     old = fleet.leader()
     at = others(fleet, old)[0]
-    fleet.freeze(old)
+    fleet.pause(old)
     fleets.wait_for("another leader", lambda: fleet.leader(others(fleet, old)))
     assert change(fleet, 1, at) == "done"
     # What only the frozen leader had heard reaches the next one once its
@@ -96,10 +96,10 @@
     )
     before = revisions(fleet, at)
     assert len(before) == 4
-    fleet.thaw(old)
+    fleet.resume(old)
     answer = fleets.wait_for(
         "an answer",
-        lambda: fleet.try_say("in force by host", at=old, wait_s=5),
+        lambda: fleet.try_execute("in force by host", at=old, wait_s=5),
     )
     assert answer["confirmed"]
     woken = {row["host"]: row["revision"] for row in answer["rows"]}
@@ -122,7 +122,7 @@
     fleet.start(lost)
 
     def repaired() -> bool:
-        answer = fleet.try_say("show controls", at=leader, wait_s=2)
+        answer = fleet.try_execute("show controls", at=leader, wait_s=2)
         rows = answer["rows"] if answer else []
         found = [row for row in rows if row["control"] == lost]
         return (
@@ -173,7 +173,7 @@
     fleet.start(away)
 
     def caught_up() -> bool:
-        answer = fleet.try_say("show controls", at=away, wait_s=2)
+        answer = fleet.try_execute("show controls", at=away, wait_s=2)
         return bool(answer and answer["confirmed"])
 
     fleets.wait_for("the restarted process", caught_up)
@@ -187,7 +187,7 @@
     outcomes = {}
 
     def send(operator: str, at: str, line: str) -> None:
-        answer = fleet.say(line, at=at, number="77", operator=operator)
+        answer = fleet.execute(line, at=at, number="77", operator=operator)
         outcomes[operator] = answer["outcome"]
 
     threads = [
--- a/tests/test_move_processes.py
+++ b/tests/test_move_processes.py
@@ -29,7 +29,7 @@
             _add(made, host, "v1", {})
         made.start()
         made.wait_leader()
-        made.say("apply matbakh.yaml", document=DOCUMENT)
+        made.execute("apply matbakh.yaml", document=DOCUMENT)
         made.wait_ready(2)
         for host in HOSTS:
             fleets.wait_for(
@@ -68,13 +68,13 @@
     traffic in time, a bad one is taken back and callers get the old one.
     """
     fleet.start(*[_add(fleet, host, "v2", behave) for host in HOSTS])
-    answer = fleet.say("move tables from v1 to v2 in 25s watch 4s")
+    answer = fleet.execute("move tables from v1 to v2 in 25s watch 4s")
     assert answer["outcome"] == "done"
     leader = fleet.leader()
     at = next(name for name in fleet.control_names if name != leader)
     addresses = [fleet.members[host].address("callers") for host in HOSTS]
     sender = load.Load(addresses, RATE)
-    shapes = [load.Shape(path="/slots")]
+    shapes = [load.RequestTemplate(path="/slots")]
     traffic = threading.Thread(
         target=lambda: asyncio.run(sender.run(40, shapes)), daemon=True
     )
@@ -83,7 +83,7 @@
     killer.start()
 
     def ended() -> str:
-        found = fleet.try_say("is move of tables done", at=at, wait_s=2)
+        found = fleet.try_execute("is move of tables done", at=at, wait_s=2)
         row = found["rows"][0] if found else {}
         return (
             row.get("outcome", "") if row.get("outcome") != "running" else ""
@@ -91,23 +91,23 @@
 
     assert fleets.wait_for("the outcome", ended, 60, 0.3) == outcome
     killer.join()
-    steps = fleet.say("explain tables", at=at)["rows"]
+    steps = fleet.execute("explain tables", at=at)["rows"]
     assert steps[0]["what"].endswith("started")
     share = "v2=100%" if outcome == "done" else "v1=100%"
-    rows = fleet.say("show services", at=at)["rows"]
+    rows = fleet.execute("show services", at=at)["rows"]
     assert share in [r["versions"] for r in rows if r["service"] == "tables"]
 
 
 def test_an_operator_reverses_a_move(fleet) -> None:
     fleet.start(*[_add(fleet, host, "v2", {}) for host in HOSTS])
-    fleet.say("move tables from v1 to v2 in 60s")
+    fleet.execute("move tables from v1 to v2 in 60s")
     fleets.wait_for(
         "the first step",
         lambda: "trial"
-        in str(fleet.say("show moves tables")["rows"][0]["phase"]),
+        in str(fleet.execute("show moves tables")["rows"][0]["phase"]),
     )
-    assert fleet.say("reverse tables")["outcome"] == "done"
-    row = fleet.say("is move of tables done")["rows"][0]
+    assert fleet.execute("reverse tables")["outcome"] == "done"
+    row = fleet.execute("is move of tables done")["rows"][0]
     assert (row["outcome"], row["reason"]) == (
         "taken back",
         "reversed by tester",
--- a/tests/test_request_processes.py
+++ b/tests/test_request_processes.py
@@ -38,7 +38,7 @@
             )
         made.start()
         made.wait_leader()
-        made.say("apply matbakh.yaml", document=DOCUMENT)
+        made.execute("apply matbakh.yaml", document=DOCUMENT)
         made.wait_ready(4)
         for host in HOSTS:
             fleets.wait_for(
@@ -49,7 +49,7 @@
 
 
 def _targets(fleet: fleets.LocalFleet) -> int:
-    answer = fleet.try_say("show targets")
+    answer = fleet.try_execute("show targets")
     return len(answer["rows"]) if answer else 0
 
 
@@ -120,8 +120,8 @@
     for victim in ("t-h2", "h2", "control1"):
         fleet.kill(victim)
         sender = load.Load(addresses, 60, seed=3)
-        asyncio.run(sender.run(4, [load.Shape(path="/slots")]))
-        late = [s for s in sender.samples if s.at_s > 2]
+        asyncio.run(sender.run(4, [load.RequestTemplate(path="/slots")]))
+        late = [s for s in sender.samples if s.due_s > 2]
         assert [s.status for s in late if s.status != 200] == [], victim
 
 
@@ -130,15 +130,15 @@
 
     Its requests end at their deadline or are sent on; the others serve.
     """
-    fleet.freeze("t-h2")
+    fleet.pause("t-h2")
     sender = load.Load(
         [fleet.members[h].address("callers") for h in HOSTS], 60, seed=3
     )
-    asyncio.run(sender.run(5, [load.Shape(path="/slots")]))
-    late = [s for s in sender.samples if s.at_s > 2.5]
+    asyncio.run(sender.run(5, [load.RequestTemplate(path="/slots")]))
+    late = [s for s in sender.samples if s.due_s > 2.5]
     good = sum(sample.status == 200 for sample in late)
     assert good >= 0.9 * len(late)
-    fleet.thaw("t-h2")
+    fleet.resume("t-h2")
 
 
 def test_a_poison_request_stops_after_two_targets(fleet) -> None:
@@ -284,8 +284,8 @@
         )
         silence = threading.Timer(2, relay.go_silent)
         silence.start()
-        asyncio.run(sender.run(7, [load.Shape(path="/kitchen/1")]))
-        late = [s for s in sender.samples if s.at_s > 5]
+        asyncio.run(sender.run(7, [load.RequestTemplate(path="/kitchen/1")]))
+        late = [s for s in sender.samples if s.due_s > 5]
         good = sum(sample.status == 200 for sample in late)
         assert good >= 0.95 * len(late)
     finally:
