--- a/libs/emulator/src/trefoil_emulator/arrivals.py
+++ b/libs/emulator/src/trefoil_emulator/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals at targets beyond the first of their request, over windows."""
+"""Counts extra arrivals at targets in windows, to check a retry budget."""
 
 import bisect
 import collections
@@ -9,86 +9,97 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Excess:
-    """The window in which a service got most beyond its allowance.
+class BudgetWindow:
+    """Extra arrivals in one window, and how many the budget allows.
 
     Args:
-        since_ms: Its begin.
-        beyond: Arrivals beyond the first of their request.
-        allowed: How many were allowed.
+        since_ms: Start of the window.
+        extra: Arrivals after the first of their request.
+        allowed: Extra arrivals that the budget allows.
     """
 
     since_ms: float = 0.0
-    beyond: int = 0
+    extra: int = 0
     allowed: float = 0.0
 
     @property
-    def over(self) -> float:
-        """Return by how many arrivals the allowance was exceeded."""
-        return self.beyond - self.allowed
+    def excess(self) -> float:
+        """Return how many arrivals exceed the budget; negative if none do."""
+        return self.extra - self.allowed
 
 
 class Arrivals:
-    """What the targets of a service saw of its requests.
+    """Requests of a service, and their arrivals at its targets.
 
     Args:
-        ratio: Arrivals beyond the first that are allowed for each request.
-        slack: How many are allowed besides, in any window.
+        ratio: Extra arrivals that are allowed per request.
+        slack: Extra arrivals that are allowed in any window on top of the
+            ratio.
     """
 
-    __slots__ = ("ratio", "slack", "requests_ms", "beyond_ms", "seen")
+    __slots__ = (
+        "ratio",
+        "slack",
+        "requests_ms",
+        "extra_ms",
+        "arrivals_by_request",
+    )
 
     def __init__(self, ratio: float, slack: float) -> None:
         self.ratio = ratio
         self.slack = slack
         self.requests_ms: list[float] = []
-        self.beyond_ms: list[float] = []
-        self.seen: collections.Counter[int] = collections.Counter()
+        self.extra_ms: list[float] = []
+        self.arrivals_by_request: collections.Counter[int] = (
+            collections.Counter()
+        )
 
-    def request(self, now_ms: float) -> None:
-        """Note a request of a caller, or a call of a first run."""
+    def record_request(self, now_ms: float) -> None:
+        """Count a caller's request, or a nested call of a first run."""
         self.requests_ms.append(now_ms)
 
-    def arrival(self, number: int, repeat: bool, now_ms: float) -> bool:
-        """Note that a target was handed a request.
+    def record_arrival(self, number: int, repeat: bool, now_ms: float) -> bool:
+        """Count the arrival of a request at a target.
 
         Args:
-            number: The request's number.
-            repeat: Whether a run that was a repeat itself called for it.
-            now_ms: The time.
+            number: Number that identifies the request.
+            repeat: Whether the run that made the request is a repeat.
+            now_ms: Current time.
 
         Returns:
-            Whether this is an arrival beyond the first.
+            Whether the arrival is an extra one.
         """
-        self.seen[number] += 1
-        beyond = repeat or self.seen[number] > 1
-        if beyond:
-            self.beyond_ms.append(now_ms)
-        return beyond
-
-    def worst(self) -> Excess:
-        """Return the worst of all windows."""
-        found = Excess(allowed=math.inf)
-        for index, since_ms in enumerate(self.beyond_ms):
+        self.arrivals_by_request[number] += 1
+        extra = repeat or self.arrivals_by_request[number] > 1
+        if extra:
+            self.extra_ms.append(now_ms)
+        return extra
+
+    def worst_window(self) -> BudgetWindow:
+        """Return the window that exceeds the budget by most."""
+        worst = BudgetWindow(allowed=math.inf)
+        for index, since_ms in enumerate(self.extra_ms):
             until_ms = since_ms + WINDOW_MS
-            beyond = bisect.bisect_left(self.beyond_ms, until_ms) - index
-            allowed = self.ratio * self._requests(since_ms) + self.slack
-            excess = Excess(since_ms, beyond, allowed)
-            if excess.over > found.over:
-                found = excess
-        return found
-
-    def _requests(self, since_ms: float) -> int:
-        """Return the requests of a window, or of an earlier one with more.
-
-        The rule takes the window itself, the one before it, or the one that
-        begins half a window earlier.
+            extra = bisect.bisect_left(self.extra_ms, until_ms) - index
+            allowed = (
+                self.ratio * self._credited_requests(since_ms) + self.slack
+            )
+            window = BudgetWindow(since_ms, extra, allowed)
+            if window.excess > worst.excess:
+                worst = window
+        return worst
+
+    def _credited_requests(self, since_ms: float) -> int:
+        """Return the requests that earn budget for a window.
+
+        This is the largest count of three windows: the window itself, the
+        one half a window earlier and the one a whole window earlier.
         """
         return max(
-            self._between(since_ms - earlier_ms)
-            for earlier_ms in (0, WINDOW_MS / 2, WINDOW_MS)
+            self._requests_in_window(since_ms - offset_ms)
+            for offset_ms in (0, WINDOW_MS / 2, WINDOW_MS)
         )
 
-    def _between(self, since_ms: float) -> int:
+    def _requests_in_window(self, since_ms: float) -> int:
         end = bisect.bisect_left(self.requests_ms, since_ms + WINDOW_MS)
         return end - bisect.bisect_left(self.requests_ms, since_ms)
--- a/libs/emulator/src/trefoil_emulator/core_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/core_fleet.py
@@ -1,8 +1,8 @@
-"""The request cores of a small fleet, driven without a socket.
+"""Discrete-event simulation of the request cores of a small fleet.
 
-Callers come at random to entry cores; requests go through the targets'
-cores to targets that take a drawn time. Time is counted, not waited for, so
-a minute of an overload is played in a few seconds, and the same each time.
+Callers arrive at random at the entry cores; requests pass the target-side
+cores and run on targets for a random duration. The clock is simulated, so a
+minute of overload takes a few seconds, and a seed reproduces a run.
 """
 
 import collections
@@ -36,166 +36,197 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Kind:
-    """A kind of request.
+class RequestKind:
+    """A kind of request; each has a route of its own.
 
     Args:
-        name: Its route.
-        per_s: How many come in a second, at all proxies.
-        work_ms: Its mean time on a target of speed 1.
-        aim_ms: Time within which an answer is worth its full credit.
-        patience_ms: How long its caller waits, returns included.
-        timeout_ms: The route's time limit.
-        priority: The route's rank.
-        spread: Standard deviation of the time, as a part of its mean.
-        answer_bytes: Length of its answers.
-        body_bytes: Length of its requests' bodies.
+        name: Name of the route.
+        rate_per_s: Arrival rate of callers at all proxies together.
+        work_ms: Mean duration on a target with a slowdown of 1.
+        latency_target_ms: Latency up to which an answer earns full credit.
+        caller_timeout_ms: How long a caller waits in total, retries
+            included.
+        timeout_ms: Timeout of the route.
+        priority: Priority of the route.
+        variation: Standard deviation of the duration divided by its mean.
+        answer_bytes: Length of an answer's body.
+        body_bytes: Length of a request's body.
     """
 
     name: str
-    per_s: float
+    rate_per_s: float
     work_ms: float
-    aim_ms: int
-    patience_ms: int
+    latency_target_ms: int
+    caller_timeout_ms: int
     timeout_ms: int
     priority: int = 0
-    spread: float = 0.8
+    variation: float = 0.8
     answer_bytes: int = 0
     body_bytes: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Caller:
-    """A caller and what became of its request."""
+    """A caller and the outcome of its request.
 
-    kind: Kind
-    born_ms: float
+    Args:
+        kind: What it requests.
+        created_ms: When its first attempt starts.
+        work_ms: Duration of its request on a target with a slowdown of 1.
+        retries: Attempts after the first.
+        latency_ms: Time from the first attempt to the last answer.
+        status: Status of the last answer; 0 before the first one.
+    """
+
+    kind: RequestKind
+    created_ms: float
     work_ms: float
-    returns: int = 0
-    took_ms: float = 0.0
+    retries: int = 0
+    latency_ms: float = 0.0
     status: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class Way:
-    """One direction of a host's link; messages pass it in order.
+class LinkDirection:
+    """One direction of a host's link; transmits messages in order.
 
     Args:
-        bytes_a_ms: What it carries; 0 for a wide one.
-        free_ms: When what was sent before is through.
+        bytes_per_ms: Bandwidth; 0 if unlimited.
+        free_at_ms: When the last queued message has been transmitted.
     """
 
-    bytes_a_ms: float = 0.0
-    free_ms: float = 0.0
+    bytes_per_ms: float = 0.0
+    free_at_ms: float = 0.0
+
+    def transmit(self, size: int, now_ms: float) -> tuple[float, float]:
+        """Queue a message for transmission.
+
+        Args:
+            size: Length of the message in bytes.
+            now_ms: Current time.
 
-    def pass_through(self, size: int, now_ms: float) -> tuple[float, float]:
-        """Return when a message begins to pass and when it is through."""
-        if not self.bytes_a_ms:
+        Returns:
+            When its transmission starts and when it ends.
+        """
+        if not self.bytes_per_ms:
             return now_ms, now_ms
-        begins_ms = max(self.free_ms, now_ms)
-        self.free_ms = begins_ms + size / self.bytes_a_ms
-        return begins_ms, self.free_ms
+        start_ms = max(self.free_at_ms, now_ms)
+        self.free_at_ms = start_ms + size / self.bytes_per_ms
+        return start_ms, self.free_at_ms
 
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """A proxy's cores and the target beside them.
+    """The cores of a proxy and the target on its host.
 
     Args:
-        name: Its name.
+        name: Name of the host.
         domain: Its failure domain.
-        slow: How many times longer its target takes; ``NO_TARGET`` where
-            there is none.
-        entry: The core of its callers' requests.
-        targets: The core before its target.
-        version: Its target's version.
-        way_out: Its link, for what it sends.
-        way_in: Its link, for what it gets.
+        slowdown: Factor on the duration of requests on its target;
+            ``NO_TARGET`` for a host without one.
+        entry: Core that handles its callers' requests.
+        targets: Core that admits requests to its target.
+        version: Version of its target.
+        runs: Requests that run on its target, by request id.
+        calls: Callers that wait for an answer, by call id.
+        uplink: Link for outgoing messages.
+        downlink: Link for incoming messages.
     """
 
     name: str
     domain: str
-    slow: float
+    slowdown: float
     entry: entries.Entry
     targets: target_side.TargetSide
     version: str = VERSION
     runs: dict[int, bool] = dataclasses.field(default_factory=dict)
     calls: dict[int, Caller] = dataclasses.field(default_factory=dict)
-    way_out: Way = dataclasses.field(default_factory=Way)
-    way_in: Way = dataclasses.field(default_factory=Way)
+    uplink: LinkDirection = dataclasses.field(default_factory=LinkDirection)
+    downlink: LinkDirection = dataclasses.field(default_factory=LinkDirection)
 
 
 class CoreFleet:
-    """Hosts, their callers, and the time between them.
+    """Simulated hosts, links and callers.
+
+    ``forwards`` counts requests passed to a target's host,
+    ``remote_forwards`` those passed to another host,
+    ``cross_domain_forwards`` those passed to another failure domain, and
+    ``ran`` runs by version of the target.
 
     Args:
-        slows: How many times longer each target takes; one host for each.
-        domains: How many failure domains the hosts are in, by turns.
+        slowdowns: Factor on the duration of requests for each target; one
+            host is created for each.
+        domains: Number of failure domains; hosts are assigned round-robin.
         slots: Slots of each target.
-        kinds: What callers ask for.
-        returns: How often a caller that was refused comes back.
-        seed: Seeds every draw.
-        trial: Hosts whose targets have a new version, at the end of the
-            list.
-        trial_permille: The new version's share, in a move that runs.
-        link_bytes_a_ms: What each host's way out carries; 0 for a wide one.
-        in_bytes_a_ms: What each host's way in carries; 0 for a wide one.
-        callers_only: How many more hosts there are, without a target.
+        kinds: Kinds of requests that callers make.
+        retries: How often a caller retries after a failure.
+        seed: Seed of the random generator.
+        new_version_hosts: How many hosts, at the end of the list, have a
+            target of the new version.
+        new_version_permille: Share of the new version in a running move; 0
+            for no move.
+        uplink_bytes_per_ms: Bandwidth of each host's uplink; 0 if
+            unlimited.
+        downlink_bytes_per_ms: Bandwidth of each host's downlink; 0 if
+            unlimited.
+        hosts_without_target: How many hosts without a target are added.
     """
 
     def __init__(
         self,
-        slows: list[float],
+        slowdowns: list[float],
         *,
         domains: int,
         slots: int,
-        kinds: list[Kind],
-        returns: int = 2,
+        kinds: list[RequestKind],
+        retries: int = 2,
         seed: int = 1,
-        trial: int = 0,
-        trial_permille: int = 0,
-        link_bytes_a_ms: float = 0.0,
-        in_bytes_a_ms: float = 0.0,
-        callers_only: int = 0,
+        new_version_hosts: int = 0,
+        new_version_permille: int = 0,
+        uplink_bytes_per_ms: float = 0.0,
+        downlink_bytes_per_ms: float = 0.0,
+        hosts_without_target: int = 0,
     ) -> None:
         self.rng = random.Random(seed)
-        self.link_bytes_a_ms = link_bytes_a_ms
-        self.in_bytes_a_ms = in_bytes_a_ms
+        self.uplink_bytes_per_ms = uplink_bytes_per_ms
+        self.downlink_bytes_per_ms = downlink_bytes_per_ms
         self.kinds = kinds
-        self.returns = returns
+        self.retries = retries
         self.numbers = itertools.count(1)
         self.events: list[tuple[float, int, typing.Any]] = []
         self.now_ms = 0.0
         self.callers: list[Caller] = []
-        self.sent = 0
-        self.sent_far = 0
-        self.far_bytes = 0
-        self.sent_away = 0
-        self.asked = 0
+        self.forwards = 0
+        self.cross_domain_forwards = 0
+        self.cross_domain_bytes = 0
+        self.remote_forwards = 0
+        self.calls_started = 0
         self.ran: collections.Counter[str] = collections.Counter()
         self.hosts = {
-            f"h{number}": self._make(
-                f"h{number}", f"d{number % domains}", slow
+            f"h{number}": self._make_host(
+                f"h{number}", f"d{number % domains}", slowdown
             )
-            for number, slow in enumerate(slows)
+            for number, slowdown in enumerate(slowdowns)
         }
-        for host in list(self.hosts.values())[len(slows) - trial :]:
+        for host in list(self.hosts.values())[
+            len(slowdowns) - new_version_hosts :
+        ]:
             host.version = NEW_VERSION
-        for number in range(callers_only):
+        for number in range(hosts_without_target):
             name = f"c{number}"
             domain = f"d{number % domains}"
-            self.hosts[name] = self._make(name, domain, NO_TARGET)
-        self.trial_permille = trial_permille
+            self.hosts[name] = self._make_host(name, domain, NO_TARGET)
+        self.new_version_permille = new_version_permille
         self._configure(slots)
 
-    def _make(self, name: str, domain: str, slow: float) -> Host:
+    def _make_host(self, name: str, domain: str, slowdown: float) -> Host:
         quarantine = quarantines.Quarantine()
         ledger = ledgers.Ledger(name, 1, 0, 0)
         targets = target_side.TargetSide(quarantine, self.rng)
         return Host(
             name,
             domain,
-            slow,
+            slowdown,
             entries.Entry(
                 name,
                 domain,
@@ -205,8 +236,8 @@
                 rng=self.rng,
             ),
             targets,
-            way_out=Way(self.link_bytes_a_ms),
-            way_in=Way(self.in_bytes_a_ms),
+            uplink=LinkDirection(self.uplink_bytes_per_ms),
+            downlink=LinkDirection(self.downlink_bytes_per_ms),
         )
 
     def _configure(self, slots: int) -> None:
@@ -216,171 +247,191 @@
             item_store.SERVICE + SERVICE,
             messages.Service(SERVICE, [], VERSION, retry_budget=0.2),
         )
-        shares = shares_of(self.trial_permille)
+        shares = shares_of(self.new_version_permille)
         items.set(1, item_store.SHARES + SERVICE, shares)
         for kind in self.kinds:
             items.set(1, item_store.ROUTE + kind.name, route_of(kind))
-        known = record_store.Records()
+        records = record_store.Records()
         for host in self.hosts.values():
             record = record_of(host, slots)
-            known.put(record, 0)
+            records.put(record, 0)
             for target in record.targets:
                 host.targets.put_target(target, 1, 0)
         for host in self.hosts.values():
             host.entry.put_in_force(routing.RouteTable(items))
-            host.entry.records_changed(known, 0)
+            host.entry.records_changed(records, 0)
 
-    # Playing
+    # Simulation
 
-    def play(self, lasts_ms: int, load: float = 1.0) -> typing.Self:
-        """Let callers come for a while, then let the last ones end.
+    def simulate(self, duration_ms: int, load: float = 1.0) -> typing.Self:
+        """Simulate arrivals for some time, then until the last call ends.
 
         Args:
-            lasts_ms: How long they come.
-            load: How many times the kinds' rates.
+            duration_ms: How long callers arrive.
+            load: Factor on the arrival rates of the kinds.
+
+        Returns:
+            The fleet.
         """
         for kind in self.kinds:
-            self._draw_callers(kind, load, lasts_ms)
-        longest_ms = max(kind.patience_ms for kind in self.kinds)
-        for at_ms in range(0, lasts_ms + longest_ms, TICK_MS):
-            self._at(at_ms, self._tick)
+            self._draw_callers(kind, load, duration_ms)
+        max_timeout_ms = max(kind.caller_timeout_ms for kind in self.kinds)
+        for at_ms in range(0, duration_ms + max_timeout_ms, TICK_MS):
+            self._schedule(at_ms, self._tick)
         while self.events:
-            self.now_ms, _, what = heapq.heappop(self.events)
-            what()
+            self.now_ms, _, action = heapq.heappop(self.events)
+            action()
         return self
 
-    def credit(self, late_worth: float, kind: str = "") -> float:
-        """Return the part of the callers' credit that was earned."""
-        found = [c for c in self.callers if kind in ("", c.kind.name)]
-        earned = sum(_credit(caller, late_worth) for caller in found)
-        return earned / len(found)
+    def credit(self, late_credit: float, kind: str = "") -> float:
+        """Return the share of the possible credit that answers earned.
+
+        Args:
+            late_credit: Credit of an answer after its latency target.
+            kind: Name of the kind that is counted; empty for all.
+        """
+        matching = [c for c in self.callers if kind in ("", c.kind.name)]
+        earned = sum(_credit(caller, late_credit) for caller in matching)
+        return earned / len(matching)
 
     @property
-    def far_share(self) -> float:
-        """Return the part of all sends that left their failure domain."""
-        return self.sent_far / self.sent
+    def cross_domain_share(self) -> float:
+        """Return the share of forwards to another failure domain."""
+        return self.cross_domain_forwards / self.forwards
 
-    def _draw_callers(self, kind: Kind, load: float, lasts_ms: int) -> None:
-        sigma = math.sqrt(math.log(1 + kind.spread**2))
+    def _draw_callers(
+        self, kind: RequestKind, load: float, duration_ms: int
+    ) -> None:
+        sigma = math.sqrt(math.log(1 + kind.variation**2))
         at_ms = 0.0
-        while at_ms < lasts_ms:
-            at_ms += self.rng.expovariate(load * kind.per_s / 1000)
+        while at_ms < duration_ms:
+            at_ms += self.rng.expovariate(load * kind.rate_per_s / 1000)
             work_ms = self.rng.lognormvariate(
                 math.log(kind.work_ms) - sigma**2 / 2, sigma
             )
             caller = Caller(kind, at_ms, work_ms)
             self.callers.append(caller)
-            self._at(at_ms, lambda c=caller: self._arrive(c))
+            self._schedule(at_ms, lambda c=caller: self._start_call(c))
 
-    def _at(self, at_ms: float, what: typing.Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at_ms, next(self.numbers), what))
+    def _schedule(
+        self, at_ms: float, action: typing.Callable[[], None]
+    ) -> None:
+        heapq.heappush(self.events, (at_ms, next(self.numbers), action))
 
-    def _arrive(self, caller: Caller) -> None:
-        self.asked += 1
+    def _start_call(self, caller: Caller) -> None:
+        self.calls_started += 1
         host = self.rng.choice(list(self.hosts.values()))
         number = next(self.numbers)
         host.calls[number] = caller
-        left_ms = int(caller.born_ms + caller.kind.patience_ms - self.now_ms)
+        remaining_ms = int(
+            caller.created_ms + caller.kind.caller_timeout_ms - self.now_ms
+        )
         call = calls.Call(
             number,
             "GET",
             "any",
             f"/{caller.kind.name}/{number}",
-            deadline_ms=max(left_ms, 1),
+            deadline_ms=max(remaining_ms, 1),
             body=bytes(caller.kind.body_bytes),
         )
-        self._carry(host, host.entry.start(call, int(self.now_ms), self._us()))
+        self._apply(
+            host, host.entry.start(call, int(self.now_ms), self._now_us())
+        )
 
-    def _us(self) -> int:
+    def _now_us(self) -> int:
         return int(self.now_ms * 1000)
 
     def _tick(self) -> None:
         now_ms = int(self.now_ms)
         for host in self.hosts.values():
-            self._carry(host, host.targets.tick(now_ms))
-            self._carry(host, host.entry.tick(now_ms, self._us()))
+            self._apply(host, host.targets.tick(now_ms))
+            self._apply(host, host.entry.tick(now_ms, self._now_us()))
 
-    def _carry(self, host: Host, found: list[typing.Any]) -> None:
-        for effect in found:
+    def _apply(self, host: Host, new_effects: list[typing.Any]) -> None:
+        for effect in new_effects:
             match effect:
                 case effects.Forward():
-                    self._forward(host, effect)
+                    self._forward_request(host, effect)
                 case effects.Dispatch():
-                    self._run(host, effect.request)
+                    self._run_request(host, effect.request)
                 case effects.Reply():
-                    self._reply(host, effect)
+                    self._send_answer(host, effect)
                 case bodies.ChunkRequest():
-                    self._pull(host, effect)
-                case effects.Send(message=messages.BodyPiece() as piece):
-                    self._give_piece(host, effect.host, piece)
+                    self._request_chunk(host, effect)
+                case effects.Send(message=messages.BodyPiece() as chunk):
+                    self._send_chunk(host, effect.host, chunk)
                 case effects.Send(message=messages.Cancel() as cancel):
-                    self._cancel(host, effect.host, cancel)
+                    self._send_cancel(host, effect.host, cancel)
                 case effects.Abort():
                     host.runs.pop(effect.dispatch_id, None)
                 case effects.Finish():
-                    self._finish(host, effect.final)
+                    self._finish_call(host, effect.final)
 
-    def _forward(self, host: Host, effect: effects.Forward) -> None:
-        there = self.hosts[effect.host]
-        self.sent += 1
-        self.sent_far += host.domain != there.domain
-        self.sent_away += host is not there
+    def _forward_request(self, host: Host, effect: effects.Forward) -> None:
+        receiver = self.hosts[effect.host]
+        self.forwards += 1
+        self.cross_domain_forwards += host.domain != receiver.domain
+        self.remote_forwards += host is not receiver
 
-        def come() -> None:
-            found = there.targets.on_request(
+        def deliver() -> None:
+            new_effects = receiver.targets.on_request(
                 host.name, effect.request, int(self.now_ms)
             )
-            self._carry(there, found)
+            self._apply(receiver, new_effects)
 
-        if host is there:
-            self._at(self.now_ms, come)
+        if host is receiver:
+            self._schedule(self.now_ms, deliver)
         else:
-            self._travel(host, there, effect.request, come)
+            self._transmit(host, receiver, effect.request, deliver)
 
-    def _travel(
+    def _transmit(
         self,
-        host: Host,
-        there: Host,
+        sender: Host,
+        receiver: Host,
         message: typing.Any,
-        come: typing.Callable[[], None],
+        deliver: typing.Callable[[], None],
     ) -> None:
-        """Let a message come to a host, through both links."""
-        if host is there:
-            self._at(self.now_ms + HOP_MS, come)
+        """Transmit a message through the sender's and receiver's links."""
+        if sender is receiver:
+            self._schedule(self.now_ms + HOP_MS, deliver)
             return
         size = len(frames.encode(message))
-        if host.domain != there.domain:
-            self.far_bytes += size
-        begins_ms, left_ms = host.way_out.pass_through(size, self.now_ms)
+        if sender.domain != receiver.domain:
+            self.cross_domain_bytes += size
+        start_ms, sent_ms = sender.uplink.transmit(size, self.now_ms)
 
-        def enter() -> None:
-            _, came_ms = there.way_in.pass_through(size, self.now_ms)
-            self._at(max(left_ms, came_ms) + HOP_MS, come)
+        def enter_downlink() -> None:
+            _, received_ms = receiver.downlink.transmit(size, self.now_ms)
+            self._schedule(max(sent_ms, received_ms) + HOP_MS, deliver)
 
-        self._at(begins_ms, enter)
+        self._schedule(start_ms, enter_downlink)
 
-    def _pull(self, host: Host, ask: bodies.ChunkRequest) -> None:
-        origin = self.hosts[ask.origin]
+    def _request_chunk(
+        self, host: Host, chunk_request: bodies.ChunkRequest
+    ) -> None:
+        origin = self.hosts[chunk_request.origin]
 
-        def come() -> None:
-            self._carry(origin, origin.entry.on_body_pull(ask.pull))
+        def deliver() -> None:
+            self._apply(origin, origin.entry.on_body_pull(chunk_request.pull))
 
-        self._travel(host, origin, ask.pull, come)
+        self._transmit(host, origin, chunk_request.pull, deliver)
 
-    def _give_piece(
-        self, host: Host, name: str, piece: messages.BodyPiece
+    def _send_chunk(
+        self, host: Host, name: str, chunk: messages.BodyPiece
     ) -> None:
-        there = self.hosts[name]
+        receiver = self.hosts[name]
 
-        def come() -> None:
-            found = there.targets.on_body_chunk(piece, int(self.now_ms))
-            self._carry(there, found)
+        def deliver() -> None:
+            new_effects = receiver.targets.on_body_chunk(
+                chunk, int(self.now_ms)
+            )
+            self._apply(receiver, new_effects)
 
-        self._travel(host, there, piece, come)
+        self._transmit(host, receiver, chunk, deliver)
 
-    def _run(self, host: Host, request: messages.Request) -> None:
+    def _run_request(self, host: Host, request: messages.Request) -> None:
         caller = self._caller_of(request)
-        took_ms = caller.work_ms * host.slow
+        duration_ms = caller.work_ms * host.slowdown
         host.runs[request.request_id] = True
         self.ran[host.version] += 1
 
@@ -391,72 +442,87 @@
                 request_id=request.request_id,
                 status=OK,
                 ran=True,
-                service_us=int(took_ms * 1000),
+                service_us=int(duration_ms * 1000),
                 body=bytes(caller.kind.answer_bytes),
             )
-            found = host.targets.on_target_answer(answer, int(self.now_ms))
-            self._carry(host, found)
+            new_effects = host.targets.on_target_answer(
+                answer, int(self.now_ms)
+            )
+            self._apply(host, new_effects)
 
-        self._at(self.now_ms + took_ms, end)
+        self._schedule(self.now_ms + duration_ms, end)
 
     def _caller_of(self, request: messages.Request) -> Caller:
         number = int(request.path.rpartition("/")[2])
         for host in self.hosts.values():
             if number in host.calls:
                 return host.calls[number]
-        # Its caller has its answer: another attempt was sooner.
+        # The call has ended: another attempt was answered first.
         return Caller(self.kinds[0], self.now_ms, self.kinds[0].work_ms)
 
-    def _reply(self, there: Host, effect: effects.Reply) -> None:
-        host = self.hosts[effect.origin]
+    def _send_answer(self, host: Host, effect: effects.Reply) -> None:
+        origin = self.hosts[effect.origin]
 
-        def come() -> None:
-            found = host.entry.on_answer(
-                effect.answer, int(self.now_ms), self._us()
+        def deliver() -> None:
+            new_effects = origin.entry.on_answer(
+                effect.answer, int(self.now_ms), self._now_us()
             )
-            self._carry(host, found)
+            self._apply(origin, new_effects)
 
-        self._travel(there, host, effect.answer, come)
+        self._transmit(host, origin, effect.answer, deliver)
 
-    def _cancel(self, host: Host, name: str, cancel: messages.Cancel) -> None:
-        there = self.hosts[name]
+    def _send_cancel(
+        self, host: Host, name: str, cancel: messages.Cancel
+    ) -> None:
+        receiver = self.hosts[name]
 
-        def come() -> None:
-            found = there.targets.on_cancel(
+        def deliver() -> None:
+            new_effects = receiver.targets.on_cancel(
                 cancel.request_id, int(self.now_ms)
             )
-            self._carry(there, found)
+            self._apply(receiver, new_effects)
 
-        self._travel(host, there, cancel, come)
+        self._transmit(host, receiver, cancel, deliver)
 
-    def _finish(self, host: Host, final: calls.Final) -> None:
+    def _finish_call(self, host: Host, final: calls.Final) -> None:
         caller = host.calls.pop(final.call_id)
         caller.status = final.status
-        caller.took_ms = self.now_ms - caller.born_ms
-        left_ms = caller.born_ms + caller.kind.patience_ms - self.now_ms
-        again = caller.returns < self.returns and left_ms > 0
-        if final.status != OK and again:
-            caller.returns += 1
-            wait_ms = min(max(final.retry_after_ms, 1), left_ms / 3)
-            self._at(self.now_ms + wait_ms, lambda: self._arrive(caller))
+        caller.latency_ms = self.now_ms - caller.created_ms
+        remaining_ms = (
+            caller.created_ms + caller.kind.caller_timeout_ms - self.now_ms
+        )
+        may_retry = caller.retries < self.retries and remaining_ms > 0
+        if final.status != OK and may_retry:
+            caller.retries += 1
+            wait_ms = min(max(final.retry_after_ms, 1), remaining_ms / 3)
+            self._schedule(
+                self.now_ms + wait_ms, lambda: self._start_call(caller)
+            )
 
 
-def _credit(caller: Caller, late_worth: float) -> float:
-    if caller.status != OK or caller.took_ms > caller.kind.patience_ms:
+def _credit(caller: Caller, late_credit: float) -> float:
+    if (
+        caller.status != OK
+        or caller.latency_ms > caller.kind.caller_timeout_ms
+    ):
         return 0.0
-    return 1.0 if caller.took_ms <= caller.kind.aim_ms else late_worth
+    return (
+        1.0
+        if caller.latency_ms <= caller.kind.latency_target_ms
+        else late_credit
+    )
 
 
-def shares_of(trial_permille: int) -> messages.Shares:
-    """Return the split between the versions, with a move if both get some."""
-    old = messages.VersionShare(VERSION, 1000 - trial_permille)
-    if not trial_permille:
+def shares_of(new_version_permille: int) -> messages.Shares:
+    """Return the shares of both versions; a move runs if both have one."""
+    old = messages.VersionShare(VERSION, 1000 - new_version_permille)
+    if not new_version_permille:
         return messages.Shares(SERVICE, [old], "")
-    new = messages.VersionShare(NEW_VERSION, trial_permille)
+    new = messages.VersionShare(NEW_VERSION, new_version_permille)
     return messages.Shares(SERVICE, [old, new], "a-move")
 
 
-def route_of(kind: Kind) -> messages.Route:
+def route_of(kind: RequestKind) -> messages.Route:
     """Return the route of a kind of request."""
     return messages.Route(
         name=kind.name,
@@ -471,12 +537,12 @@
         backends=[],
         priority=kind.priority,
         max_attempts=3,
-        latency_aim_ms=kind.aim_ms,
+        latency_aim_ms=kind.latency_target_ms,
     )
 
 
 def record_of(host: Host, slots: int) -> messages.HostRecord:
-    """Return what other hosts know of a host and its target."""
+    """Return the record that a host announces of itself and its target."""
     target = messages.TargetRecord(
         name=f"t-{host.name}",
         service_name=SERVICE,
@@ -494,5 +560,5 @@
         1,
         1,
         messages.HostState.ALIVE,
-        [target] if host.slow != NO_TARGET else [],
+        [target] if host.slowdown != NO_TARGET else [],
     )
--- a/libs/emulator/tests/test_exposure.py
+++ b/libs/emulator/tests/test_exposure.py
@@ -1,23 +1,23 @@
-"""How many callers a version on trial meets beyond its share."""
+"""Share of the calls that a new version serves during a move."""
 
 import pytest
 
 from trefoil_emulator import core_fleet
 
-KIND = core_fleet.Kind("r", 300.0, 90.0, 300, 2000, 1000)
+KIND = core_fleet.RequestKind("r", 300.0, 90.0, 300, 2000, 1000)
 SHARE = 80
 
 
-def fleet(seed: int) -> core_fleet.CoreFleet:
-    """Return six targets of the old version and two of the new one."""
+def make_fleet(seed: int) -> core_fleet.CoreFleet:
+    """Return a fleet with six targets of the old version, two of the new."""
     return core_fleet.CoreFleet(
         [1.0] * 8,
         domains=4,
         slots=6,
         kinds=[KIND],
         seed=seed,
-        trial=2,
-        trial_permille=SHARE,
+        new_version_hosts=2,
+        new_version_permille=SHARE,
     )
 
 
@@ -26,20 +26,26 @@
 def test_a_full_old_version_does_not_overflow_onto_the_new_one(
     load: float, seed: int
 ) -> None:
-    """Callers refused by full targets meet a bad version beyond its share."""
-    played = fleet(seed).play(3_000, load)
-    share = played.ran[core_fleet.NEW_VERSION] / played.asked
+    """Full targets must not redirect callers to the new version.
+
+    Otherwise a faulty version serves more callers than its share.
+    """
+    simulated = make_fleet(seed).simulate(3_000, load)
+    share = simulated.ran[core_fleet.NEW_VERSION] / simulated.calls_started
     assert share <= 1.25 * SHARE / 1000
 
 
-def test_a_trial_that_is_short_of_slots_costs_callers_nothing() -> None:
-    """The new version's one full target refuses what the old one can serve."""
-    played = core_fleet.CoreFleet(
+def test_a_new_version_short_of_slots_costs_callers_nothing() -> None:
+    """Calls are served by the old version if the new one refuses them.
+
+    The new version has one target, which is full, and a share of 40%.
+    """
+    simulated = core_fleet.CoreFleet(
         [1.0] * 8,
         domains=4,
         slots=6,
         kinds=[KIND],
-        trial=1,
-        trial_permille=400,
-    ).play(3_000)
-    assert played.credit(0.2) >= 0.9
+        new_version_hosts=1,
+        new_version_permille=400,
+    ).simulate(3_000)
+    assert simulated.credit(0.2) >= 0.9
--- a/libs/emulator/tests/test_uploads.py
+++ b/libs/emulator/tests/test_uploads.py
@@ -1,14 +1,14 @@
-"""Uploads and small calls at the same targets, over thin links.
+"""Uploads and small calls to the same targets, over slow links.
 
-Five targets of five slots; the links of their hosts carry 57 uploads a second
-together, of which a tenth is taken by small calls.
+There are five targets of five slots. The links of their hosts together carry
+57 uploads per second, less a tenth of their capacity for small calls.
 """
 
 import pytest
 
 from trefoil_emulator import core_fleet
 
-UPLOAD = core_fleet.Kind(
+UPLOAD = core_fleet.RequestKind(
     "upload",
     57,
     140,
@@ -19,92 +19,103 @@
     answer_bytes=1500,
     body_bytes=60_000,
 )
-VERIFY = core_fleet.Kind("verify", 315, 30, 120, 400, 400, 1, 0.5, 400)
+VERIFY = core_fleet.RequestKind("verify", 315, 30, 120, 400, 400, 1, 0.5, 400)
 # A link of 5.5 Mbit/s.
 LINK_BYTES_PER_MS = 687.5
-LASTS_MS = 8000
-SLOWS = [0.7, 0.7, 1.6, 0.7, 0.7]
-TARGETS = len(SLOWS)
-LATE_WORTH = 0.1
+DURATION_MS = 8000
+SLOWDOWNS = [0.7, 0.7, 1.6, 0.7, 0.7]
+TARGETS = len(SLOWDOWNS)
+LATE_CREDIT = 0.1
 
 
-def made() -> core_fleet.CoreFleet:
+def make_fleet() -> core_fleet.CoreFleet:
     """Return a fleet of 65 hosts."""
     return core_fleet.CoreFleet(
-        SLOWS,
+        SLOWDOWNS,
         domains=3,
         slots=5,
         kinds=[UPLOAD, VERIFY],
-        returns=1,
+        retries=1,
         seed=1,
-        link_bytes_a_ms=LINK_BYTES_PER_MS,
-        in_bytes_a_ms=LINK_BYTES_PER_MS,
-        callers_only=60,
+        uplink_bytes_per_ms=LINK_BYTES_PER_MS,
+        downlink_bytes_per_ms=LINK_BYTES_PER_MS,
+        hosts_without_target=60,
     )
 
 
-def played(load: float) -> core_fleet.CoreFleet:
-    """Return a fleet after eight seconds of a load."""
-    return made().play(LASTS_MS, load)
+def simulate_load(load: float) -> core_fleet.CoreFleet:
+    """Return a fleet after eight seconds of load."""
+    return make_fleet().simulate(DURATION_MS, load)
 
 
-def played_with_slow_senders(every: int, part: float) -> core_fleet.CoreFleet:
-    """Return a fleet some of whose senders have thinner links than others.
+def simulate_with_slow_senders(
+    interval: int, link_share: float
+) -> core_fleet.CoreFleet:
+    """Return a fleet in which some senders have slower links than others.
 
     Args:
-        every: Each such host without a target is one of them.
-        part: What their links carry, as a part of the others'.
+        interval: Every how many hosts without a target one is slow.
+        link_share: Uplink bandwidth of slow hosts, as a share of the
+            others'.
     """
-    fleet = made()
-    for host in list(fleet.hosts.values())[TARGETS::every]:
-        host.way_out.bytes_a_ms *= part
-    return fleet.play(LASTS_MS, 0.7)
+    fleet = make_fleet()
+    for host in list(fleet.hosts.values())[TARGETS::interval]:
+        host.uplink.bytes_per_ms *= link_share
+    return fleet.simulate(DURATION_MS, 0.7)
 
 
 @pytest.fixture(scope="module")
-def usual() -> core_fleet.CoreFleet:
-    """Return the fleet at a rate that its links just bear."""
-    return played(1.0)
+def normal_load() -> core_fleet.CoreFleet:
+    """Return the fleet at the highest rate that its links carry."""
+    return simulate_load(1.0)
 
 
 @pytest.fixture(scope="module")
-def beyond() -> core_fleet.CoreFleet:
-    """Return the fleet at a rate of which its links bear 0.7."""
-    return played(1.3)
+def overload() -> core_fleet.CoreFleet:
+    """Return the fleet at a rate of which its links carry 0.7."""
+    return simulate_load(1.3)
 
 
-def test_uploads_on_their_way_keep_no_slots_from_small_calls(
-    usual: core_fleet.CoreFleet,
+def test_incoming_uploads_hold_no_slots_from_small_calls(
+    normal_load: core_fleet.CoreFleet,
 ) -> None:
-    """Slots were held for bodies, and small calls refused at idle targets."""
-    assert usual.credit(LATE_WORTH, "verify") >= 0.95
+    """Uploads must not hold slots while their bodies are received.
+
+    Otherwise idle targets refuse small calls.
+    """
+    assert normal_load.credit(LATE_CREDIT, "verify") >= 0.95
 
 
-def test_uploads_that_the_links_bear_are_in_time(
-    usual: core_fleet.CoreFleet,
+def test_uploads_within_link_capacity_are_in_time(
+    normal_load: core_fleet.CoreFleet,
 ) -> None:
-    """A queue of bodies as long as the time limit made nearly all late."""
-    assert usual.credit(LATE_WORTH, "upload") >= 0.75
+    """The queue of bodies must be short.
+
+    A queue as long as the timeout makes nearly all uploads late.
+    """
+    assert normal_load.credit(LATE_CREDIT, "upload") >= 0.75
 
 
-def test_an_overload_of_uploads_leaves_as_many_in_time(
-    beyond: core_fleet.CoreFleet,
+def test_an_upload_overload_does_not_reduce_timely_uploads(
+    overload: core_fleet.CoreFleet,
 ) -> None:
-    """The more uploads came, the fewer were served in time.
+    """Excess uploads must not reduce the number that is in time.
 
-    The links bear 0.7 of them; four fifths of these are to be in time.
+    The links carry 0.7 of the uploads; four fifths of these have to be in
+    time.
     """
-    assert beyond.credit(LATE_WORTH, "upload") >= 0.8 * 0.7
-    assert beyond.credit(LATE_WORTH, "verify") >= 0.95
+    assert overload.credit(LATE_CREDIT, "upload") >= 0.8 * 0.7
+    assert overload.credit(LATE_CREDIT, "verify") >= 0.95
 
 
-@pytest.mark.parametrize(("every", "part"), [(10, 0.1), (3, 0.3)])
-def test_slow_senders_do_not_hold_up_the_uploads_of_others(
-    every: int, part: float
+@pytest.mark.parametrize(("interval", "link_share"), [(10, 0.1), (3, 0.3)])
+def test_slow_senders_do_not_delay_other_uploads(
+    interval: int, link_share: float
 ) -> None:
-    """The link of a target's host stood idle while a slow body had its turn.
+    """A slow body must not leave the link of a target's host idle.
 
-    The links bear all uploads of the others; four fifths are to be in time.
+    The links carry all uploads of the other senders; four fifths have to be
+    in time.
     """
-    fleet = played_with_slow_senders(every, part)
-    assert fleet.credit(LATE_WORTH, "upload") >= 0.8
+    fleet = simulate_with_slow_senders(interval, link_share)
+    assert fleet.credit(LATE_CREDIT, "upload") >= 0.8
--- a/libs/requests/tests/test_fleet_budget.py
+++ b/libs/requests/tests/test_fleet_budget.py
@@ -8,37 +8,37 @@
 from trefoil_emulator import troubled_fleet
 
 SLACK = 60
-BROWSE = core_fleet.Kind("browse", 140, 120, 500, 3000, 1500, 2)
-CHARGE = core_fleet.Kind("charge", 60, 150, 600, 4000, 2000, 1)
-BOOK = core_fleet.Kind("book", 40, 80, 300, 2000, 1000)
-LOOK_UP = core_fleet.Kind("look-up", 50, 60, 200, 1200, 1000, 1)
-CHECK = core_fleet.Kind("check", 0, 40, 150, 500, 500)
+BROWSE = core_fleet.RequestKind("browse", 140, 120, 500, 3000, 1500, 2)
+CHARGE = core_fleet.RequestKind("charge", 60, 150, 600, 4000, 2000, 1)
+BOOK = core_fleet.RequestKind("book", 40, 80, 300, 2000, 1000)
+LOOK_UP = core_fleet.RequestKind("look-up", 50, 60, 200, 1200, 1000, 1)
+CHECK = core_fleet.RequestKind("check", 0, 40, 150, 500, 500)
 FRONT = "front"
 BACK = "back"
 FAULT_SHARES = strategies.sampled_from([0.0, 0.1, 0.3, 0.5, 0.7])
 
 
-def fleet(seed: int = 1) -> troubled_fleet.TroubledFleet:
+def fleet(seed: int = 1) -> troubled_fleet.FaultyFleet:
     """Return six targets of a service whose runs mostly call another one."""
-    return troubled_fleet.TroubledFleet(
+    return troubled_fleet.FaultyFleet(
         [
             troubled_fleet.Service(FRONT, 6, [BROWSE, CHARGE]),
             troubled_fleet.Service(BACK, 3, [BOOK, LOOK_UP], [CHECK]),
         ],
-        {"browse": troubled_fleet.Calling(CHECK, BACK, 0.7)},
+        {"browse": troubled_fleet.NestedCall(CHECK, BACK, 0.7)},
         slack=SLACK,
         seed=seed,
     )
 
 
 def services_over_budget(
-    fleet_run: troubled_fleet.TroubledFleet,
+    fleet_run: troubled_fleet.FaultyFleet,
 ) -> dict[str, str]:
     """Return the services whose repeats exceed the budget, and the excess."""
     return {
-        name: str(excess)
-        for name, excess in fleet_run.worst().items()
-        if excess.over > 0
+        name: str(window)
+        for name, window in fleet_run.worst_window().items()
+        if window.excess > 0
     }
 
 
@@ -46,8 +46,8 @@
     """Both ends of a chain refuse, and calls of repeats must be charged."""
     fleet_run = fleet()
     fleet_run.run(5000)
-    fleet_run.behaviour[FRONT].refusing = 0.45
-    fleet_run.behaviour[BACK].refusing = 0.55
+    fleet_run.behaviour[FRONT].refuse_share = 0.45
+    fleet_run.behaviour[BACK].refuse_share = 0.55
     fleet_run.run(12_000)
     assert services_over_budget(fleet_run) == {}
 
@@ -66,16 +66,20 @@
 
     @stateful.rule(
         service=strategies.sampled_from([FRONT, BACK]),
-        refusing=FAULT_SHARES,
-        breaking=FAULT_SHARES,
-        slow=strategies.sampled_from([1.0, 4.0, 12.0]),
+        refuse_share=FAULT_SHARES,
+        disconnect_share=FAULT_SHARES,
+        slowdown=strategies.sampled_from([1.0, 4.0, 12.0]),
     )
     def targets_change(
-        self, service: str, refusing: float, breaking: float, slow: float
+        self,
+        service: str,
+        refuse_share: float,
+        disconnect_share: float,
+        slowdown: float,
     ) -> None:
         """Make the targets of a service refuse, break off or slow down."""
         self.fleet.behaviour[service] = troubled_fleet.Behaviour(
-            refusing, breaking, slow
+            refuse_share, disconnect_share, slowdown
         )
 
     @stateful.rule(load=strategies.sampled_from([0.5, 1.0, 1.8]))
@@ -89,7 +93,7 @@
     )
     def host_freezes(self, number: int, for_ms: int) -> None:
         """Freeze a host for a while."""
-        self.fleet.freeze(self.host(number), for_ms)
+        self.fleet.pause(self.host(number), for_ms)
 
     @stateful.rule(
         number=strategies.integers(0, 20),
@@ -103,11 +107,11 @@
     @stateful.precondition(lambda self: len(self.fleet.hosts) < 13)
     @stateful.rule(
         service=strategies.sampled_from([FRONT, BACK]),
-        known_to=strategies.sampled_from([0.5, 1.0]),
+        known_share=strategies.sampled_from([0.5, 1.0]),
     )
-    def host_joins(self, service: str, known_to: float) -> None:
+    def host_joins(self, service: str, known_share: float) -> None:
         """Add a host that is announced to only some of the others."""
-        self.fleet.join(service, known_to)
+        self.fleet.join(service, known_share)
 
     @stateful.rule(lasts_ms=strategies.sampled_from([300, 2000, 8000]))
     def time_passes(self, lasts_ms: int) -> None:
