--- a/libs/emulator/src/trefoil_emulator/fleet.py
+++ b/libs/emulator/src/trefoil_emulator/fleet.py
@@ -1,4 +1,4 @@
-"""Runs a fleet of real processes on loopback, for tests and benches.
+"""Runs a fleet of real processes on loopback, for tests, benches and demos.
 
 The product does not use this module: trefoilroute's own processes start no
 others.
@@ -141,7 +141,11 @@
         )
 
     def address(self, port: str) -> str:
-        """Return the address of the port for a purpose."""
+        """Return the address of one of the process's ports.
+
+        Args:
+            port: Purpose of the port, a key of ``ports``.
+        """
         return f"{self.ip}:{self.ports[port]}"
 
     @property
@@ -194,7 +198,7 @@
         self.members: dict[str, Member] = {}
         self.seeds: dict[str, dict[str, str]] = {d: {} for d in domains}
         self.control_names = [f"control{n + 1}" for n in range(controls)]
-        self.hosts = 0
+        self.host_count = 0
         self.control_ips = {
             name: self._new_ip() for name in self.control_names
         }
@@ -202,11 +206,11 @@
             name: dict(zip(("peers", "admin"), free_ports(2, ip)))
             for name, ip in self.control_ips.items()
         }
-        self.numbers = 0
+        self.last_number = 0
 
     def _new_ip(self) -> str:
-        self.hosts += 1
-        return host_ip(self.hosts)
+        self.host_count += 1
+        return host_ip(self.host_count)
 
     @property
     def controls(self) -> dict[str, str]:
@@ -220,12 +224,12 @@
 
     def add_controls(self) -> None:
         """Add the control processes and initialize their data folders."""
-        for at, name in enumerate(self.control_names):
+        for index, name in enumerate(self.control_names):
             ports = self.control_ports[name]
             ip = self.control_ips[name]
             settings = {
                 "host": name,
-                "domain": self.domains[at % len(self.domains)],
+                "domain": self.domains[index % len(self.domains)],
                 "peers": f"{ip}:{ports['peers']}",
                 "admin": f"{ip}:{ports['admin']}",
                 "controls": self.controls,
@@ -303,7 +307,7 @@
             f"--resources={resources},",
             f"--behave={json.dumps(behave or {})}",
         ]
-        self.numbers += 1
+        self.last_number += 1
         self.members[name] = Member(
             name, command, {"http": port}, self.members[host].domain, ip
         )
@@ -395,8 +399,8 @@
             Unreachable: The process does not answer.
             Refused: The process refuses the line.
         """
-        self.numbers += 1
-        number = number or f"{int(time.time() * 1000)}-{self.numbers}"
+        self.last_number += 1
+        number = number or f"{int(time.time() * 1000)}-{self.last_number}"
         line = client.Line.numbered(text, number, operator, document)
         member = self.members[at]
         deadline = time.monotonic() + wait_s
