--- a/libs/emulator/src/trefoil_emulator/arrivals.py
+++ b/libs/emulator/src/trefoil_emulator/arrivals.py
@@ -1,4 +1,8 @@
-"""Counts extra arrivals at targets in windows, to check a retry budget."""
+"""Counts extra arrivals at targets in windows, to check a retry budget.
+
+An arrival is extra if the same request has arrived before, or if the request
+is a nested call of a repeat.
+"""
 
 import bisect
 import collections
@@ -14,7 +18,7 @@
 
     Args:
         since_ms: Start of the window.
-        extra: Arrivals after the first of their request.
+        extra: Extra arrivals in the window.
         allowed: Extra arrivals that the budget allows.
     """
 
@@ -76,7 +80,7 @@
         return extra
 
     def worst_window(self) -> BudgetWindow:
-        """Return the window that exceeds the budget by most."""
+        """Return the window with the largest excess."""
         worst = BudgetWindow(allowed=math.inf)
         for index, since_ms in enumerate(self.extra_ms):
             until_ms = since_ms + WINDOW_MS
@@ -90,7 +94,7 @@
         return worst
 
     def _credited_requests(self, since_ms: float) -> int:
-        """Return the requests that earn budget for a window.
+        """Return the number of requests that earn budget for a window.
 
         This is the largest count of three windows: the window itself, the
         one half a window earlier and the one a whole window earlier.
--- a/libs/emulator/src/trefoil_emulator/troubled_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/troubled_fleet.py
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Caller(core_fleet.Caller):
-    """A client, or a target that makes a nested call.
+    """An external caller, or a target that makes a nested call.
 
     Args:
         service: The called service.
@@ -69,7 +69,7 @@
     Args:
         name: Name of the service.
         hosts: Number of its targets, each on a host of its own.
-        kinds: Kinds of requests from clients.
+        kinds: Kinds of requests from external callers.
         internal: Kinds of requests from targets of other services.
     """
 
@@ -210,7 +210,10 @@
         )
 
     def restart(self, name: str) -> None:
-        """Kill and restart a host's proxy; its target keeps running."""
+        """Kill and restart a host's proxy.
+
+        Its target keeps running, but its current requests are aborted.
+        """
         self.resume(name)
         old = self.hosts[name]
         old.runs.clear()
@@ -242,7 +245,8 @@
     def pause(self, name: str, duration_ms: float) -> None:
         """Pause a host.
 
-        Other hosts first mark it as unresponsive, then close their links.
+        If the pause lasts, other hosts first mark it as unresponsive and
+        then close their links to it.
 
         Args:
             name: Name of the host; nothing happens if it is paused already.
@@ -304,7 +308,7 @@
         self.now_ms = until_ms
 
     def worst_window(self) -> dict[str, arrivals.BudgetWindow]:
-        """Return the window that exceeds the budget by most, by service."""
+        """Return the window with the largest excess for each service."""
         return {
             name: service_arrivals.worst_window()
             for name, service_arrivals in self.arrivals.items()
