--- a/libs/emulator/src/trefoil_emulator/__init__.py
+++ b/libs/emulator/src/trefoil_emulator/__init__.py
@@ -1,1 +1,4 @@
-"""Emulated targets and fleets, and a load generator, for tests and benches."""
+"""Emulated targets, fleets of hosts and a load generator.
+
+They are used by tests, benches and demos.
+"""
--- a/libs/emulator/src/trefoil_emulator/behaviour.py
+++ b/libs/emulator/src/trefoil_emulator/behaviour.py
@@ -10,6 +10,9 @@
 class Behaviour:
     """How an emulated target answers.
 
+    Times count from the start of the target or the last change of its
+    behaviour.
+
     Args:
         delay_ms: Mean duration of a request.
         jitter: Largest deviation from the delay, as a share of it.
@@ -62,7 +65,13 @@
         return cls(**json.loads(text or "{}"))
 
     def is_fault_active(self, path: str, age_s: float, running: int) -> bool:
-        """Return whether the fault is active for a request."""
+        """Return whether the fault is active for a request.
+
+        Args:
+            path: Path of the request.
+            age_s: Seconds since the start.
+            running: Concurrent requests, including this one.
+        """
         return (
             path.startswith(self.fail_prefix)
             and age_s >= self.after_s
--- a/libs/emulator/src/trefoil_emulator/control_net.py
+++ b/libs/emulator/src/trefoil_emulator/control_net.py
@@ -165,7 +165,7 @@
 
 
 def founded_network(*joiners: str) -> Network:
-    """Return a network whose founders have started, with joined processes.
+    """Return a network with a founded cluster.
 
     Args:
         joiners: Names of processes that join in addition to the founders.
--- a/libs/emulator/src/trefoil_emulator/core_fleet.py
+++ b/libs/emulator/src/trefoil_emulator/core_fleet.py
@@ -151,7 +151,7 @@
     ``forwards`` counts requests passed to a target's host,
     ``remote_forwards`` those passed to another host,
     ``cross_domain_forwards`` those passed to another failure domain, and
-    ``ran`` runs by version of the target.
+    ``ran`` the runs by version of the target.
 
     Args:
         slowdowns: Factor on the duration of requests for each target; one
@@ -264,7 +264,7 @@
     # Simulation
 
     def simulate(self, duration_ms: int, load: float = 1.0) -> typing.Self:
-        """Simulate arrivals for some time, then until the last call ends.
+        """Simulate arrivals for some time, and run until the last call ends.
 
         Args:
             duration_ms: How long callers arrive.
--- a/libs/emulator/src/trefoil_emulator/target.py
+++ b/libs/emulator/src/trefoil_emulator/target.py
@@ -74,7 +74,7 @@
 
     @property
     def age_s(self) -> float:
-        """Return the time since the start in seconds."""
+        """Return the seconds since the start or the last new behaviour."""
         return (self.clock.now_ms() - self.started_ms) / 1000
 
     # Requests
@@ -133,7 +133,7 @@
         return max(now_us, self.worker_free_us[0])
 
     def gone(self, connection: http_server.ServerConnection) -> None:
-        """Drop the request of a closed connection as cancelled."""
+        """Count the request of a closed connection as cancelled."""
         for number, running in list(self.in_flight.items()):
             if running is connection:
                 del self.in_flight[number]
