--- a/libs/emulator/tests/test_core_fleet.py
+++ b/libs/emulator/tests/test_core_fleet.py
@@ -17,7 +17,7 @@
 CHECK = core_fleet.RequestKind(
     "check", 150, 22, 100, 250, 250, 1, 0.5, answer_bytes=400
 )
-# Two in three targets are fast; capacity is a bit over twice the base rates.
+# Three in four targets are fast; capacity is about twice the base rates.
 SLOWDOWNS = [0.7, 0.7, 1.6, 0.7, 0.7, 1.6, 0.7, 0.7]
 LATE_CREDIT = 0.1
 DURATION_MS = 10_000
@@ -40,7 +40,7 @@
 
     Callers need a tenth more than the slots' capacity, and retry. If
     retries count as new calls, each occupies a slot for a late answer: 0.69
-    of the credit is earned, and 0.57 by the route of lower priority,
+    of the credit is earned, and 0.57 on the route of lower priority,
     instead of 0.83 and 0.77. The urgent route loses nothing.
     """
     fleet = simulate_load(2.2)
@@ -62,9 +62,10 @@
 def test_few_calls_are_forwarded_across_failure_domains() -> None:
     """Calls wait for slow local targets, as cross-domain traffic is charged.
 
-    A third of the targets is slow, so some callers have slow local ones.
-    At 1.4 times the base rates 16 in 100 calls cross domains, not a
-    quarter. Forwarding half as many earns 0.987 of the credit, not 0.991.
+    One in four targets is slow, so some callers have slow local ones. At
+    1.4 times the base rates 16 in 100 calls cross domains, or a quarter if
+    these callers do not wait. If half as many calls cross domains, 0.987 of
+    the credit is earned instead of 0.991.
     """
     fleet = simulate_load(1.4)
     assert fleet.cross_domain_forwards <= 0.18 * len(fleet.callers)
@@ -91,7 +92,8 @@
     """Calls must not go to another host without a benefit.
 
     Each such call passes two links and one proxy more. At the base rates a
-    third of the calls does, not half, and the same credit is earned.
+    third of the calls go to another host. If targets on the callers' own
+    host are not preferred, half of them do, and earn no more credit.
     """
     fleet = simulate_load(1.0)
     assert fleet.remote_forwards <= 0.4 * fleet.forwards
--- a/libs/emulator/tests/test_exposure.py
+++ b/libs/emulator/tests/test_exposure.py
@@ -5,7 +5,7 @@
 from trefoil_emulator import core_fleet
 
 KIND = core_fleet.RequestKind("r", 300.0, 90.0, 300, 2000, 1000)
-SHARE = 80
+SHARE_PERMILLE = 80
 
 
 def make_fleet(seed: int) -> core_fleet.CoreFleet:
@@ -17,7 +17,7 @@
         kinds=[KIND],
         seed=seed,
         new_version_hosts=2,
-        new_version_permille=SHARE,
+        new_version_permille=SHARE_PERMILLE,
     )
 
 
@@ -32,7 +32,7 @@
     """
     simulated = make_fleet(seed).simulate(3_000, load)
     share = simulated.ran[core_fleet.NEW_VERSION] / simulated.calls_started
-    assert share <= 1.25 * SHARE / 1000
+    assert share <= 1.25 * SHARE_PERMILLE / 1000
 
 
 def test_a_new_version_short_of_slots_costs_callers_nothing() -> None:
--- a/libs/emulator/tests/test_uploads.py
+++ b/libs/emulator/tests/test_uploads.py
@@ -1,7 +1,7 @@
 """Uploads and small calls to the same targets, over slow links.
 
-There are five targets of five slots. The links of their hosts together carry
-57 uploads per second, less a tenth of their capacity for small calls.
+There are five targets of five slots. The links of their hosts together have
+capacity for 57 uploads per second; small calls take a tenth of it.
 """
 
 import pytest
@@ -54,7 +54,7 @@
     """Return a fleet in which some senders have slower links than others.
 
     Args:
-        interval: Every how many hosts without a target one is slow.
+        interval: One in this many hosts without a target is slow.
         link_share: Uplink bandwidth of slow hosts, as a share of the
             others'.
     """
@@ -76,7 +76,7 @@
     return simulate_load(1.3)
 
 
-def test_incoming_uploads_hold_no_slots_from_small_calls(
+def test_incoming_uploads_take_no_slots_from_small_calls(
     normal_load: core_fleet.CoreFleet,
 ) -> None:
     """Uploads must not hold slots while their bodies are received.
