--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Test settings that hold for the whole workspace."""
+"""Shared pytest configuration."""
 
 import os
 import pathlib
@@ -15,8 +15,8 @@
     database=None,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-# Shrinking a failure takes minutes; where only the failure itself counts
-# (bench/safeguards.py) it is left out.
+# Shrinking a failing example takes minutes. This profile skips it for
+# bench/safeguards.py, which only needs to know whether a test fails.
 hypothesis.settings.register_profile(
     "no-shrink",
     parent=hypothesis.settings.get_profile("ci"),
