--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,9 +1,9 @@
-"""A small model of arrivals and slots that drives the cores of moves.
+"""Discrete-event simulation of a move that drives the daemons' cores.
 
-One trace is one move of one service. Callers' requests arrive at proxies,
-take a version by the share in force there and a target's slot; evidence goes
-through the daemons' own collectors, reports that cross or get lost, and the
-daemons' own conductor and agreed state.
+A trace is one move of one service. Requests arrive at proxies, get a version
+by the share in force there, and occupy a slot of a target. Evidence passes
+through the daemons' own collectors, reports that may be reordered or lost, and
+the daemons' own conductor and agreed state.
 """
 
 import dataclasses
@@ -23,12 +23,12 @@
 from trefoil_wire import messages
 
 STEP_MS = 100
-DECIDE_MS = 200
+DECISION_INTERVAL_MS = 200
 DEADLINE_MS = 90_000
 WATCH_MS = 30_000
-END_MS = 150_000
+MAX_DURATION_MS = 150_000
 TIMEOUT_MS = 2000
-SPREAD_MS = 300
+MAX_PROPAGATION_MS = 300
 OLD, NEW = "v1", "v2"
 START_WALL_MS = 1_700_000_000_000
 
@@ -41,17 +41,17 @@
         name: Its name.
         targets: Targets of each version.
         slots: Slots of each target.
-        rate: Requests a second.
-        base_ms: Median time of a request.
+        rate: Requests per second.
+        median_ms: Median run time of a request.
         routes: Share of requests of each route.
-        profile: The knobs' profile.
+        profile: Profile of the parameters of moves.
     """
 
     name: str
     targets: int
     slots: int
     rate: float
-    base_ms: float
+    median_ms: float
     routes: dict[str, float]
     profile: str
 
@@ -62,7 +62,7 @@
         targets=8,
         slots=12,
         rate=160.0,
-        base_ms=60.0,
+        median_ms=60.0,
         routes={"list": 0.8, "pay": 0.15, "rare": 0.05},
         profile="in-time",
     ),
@@ -71,7 +71,7 @@
         targets=8,
         slots=6,
         rate=120.0,
-        base_ms=60.0,
+        median_ms=60.0,
         routes={"search": 0.75, "hold": 0.2, "rare": 0.05},
         profile="cautious",
     ),
@@ -82,90 +82,92 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Fault:
-    """What happens in a trace.
+    """A fault or disturbance to simulate in a trace.
 
     Args:
         name: Its name.
-        bad: Whether the new version is to blame.
-        fail: Share of the new version's requests that fail.
-        slow: How many times slower the new version is.
-        after_s: When it shows, from the first request to the version.
-        route: The position of the one route on which it shows, if set.
-        above_busy: Requests running on a target from which it shows.
-        crash: Share of requests that crash their target.
-        hang: Share of requests that are never answered.
-        cold_s: Time for which new targets are slow at first.
-        shared_fail: Share of both versions' requests that fail for a while.
-        shared_domain: Whether only one failure domain has that.
-        burst: How many times the rate grows for a while.
-        lose_reports: Share of reports that are lost.
-        cut: Whether a failure domain is cut off for a while.
-        thin: Factor on the rate.
+        bad: Whether the new version is at fault.
+        fail_share: Share of the new version's requests that fail.
+        slowdown: Factor on the new version's run times.
+        after_s: When the fault begins, from the first request to the version.
+        route_index: The only route that is affected; -1 for all.
+        min_running: Requests running on a target from which it is affected.
+        crash_share: Share of requests that crash their target.
+        hang_share: Share of requests that are never answered.
+        warmup_s: Time for which new targets are slow at first.
+        shared_fail_share: Share of both versions' requests that fail for a
+            while.
+        in_one_domain: Whether only one failure domain has shared failures.
+        burst_factor: Factor on the rate for a while.
+        lost_reports_share: Share of reports that are lost.
+        cuts_domain: Whether a failure domain is cut off for a while.
+        rate_factor: Factor on the rate of the whole trace.
     """
 
     name: str
     bad: bool = True
-    fail: float = 0.0
-    slow: float = 1.0
+    fail_share: float = 0.0
+    slowdown: float = 1.0
     after_s: float = 0.0
-    route: int = -1
-    above_busy: int = 0
-    crash: float = 0.0
-    hang: float = 0.0
-    cold_s: float = 0.0
-    shared_fail: float = 0.0
-    shared_domain: bool = False
-    burst: float = 1.0
-    lose_reports: float = 0.0
-    cut: bool = False
-    thin: float = 1.0
+    route_index: int = -1
+    min_running: int = 0
+    crash_share: float = 0.0
+    hang_share: float = 0.0
+    warmup_s: float = 0.0
+    shared_fail_share: float = 0.0
+    in_one_domain: bool = False
+    burst_factor: float = 1.0
+    lost_reports_share: float = 0.0
+    cuts_domain: bool = False
+    rate_factor: float = 1.0
 
 
 BAD = [
-    Fault("fails at once", fail=0.2),
-    Fault("fails on 2%", fail=0.02),
-    Fault("slow at once", slow=2.0),
-    Fault("fails after a while", fail=0.1, after_s=35),
-    Fault("slow after a while", slow=2.5, after_s=35),
-    Fault("fails under load", fail=0.3, above_busy=2),
-    Fault("slow under load", slow=5.0, above_busy=2),
-    Fault("fails on one route", fail=0.2, route=1),
-    Fault("crashes", crash=0.01),
-    Fault("stops answering", hang=0.1),
+    Fault("fails at once", fail_share=0.2),
+    Fault("fails on 2%", fail_share=0.02),
+    Fault("slow at once", slowdown=2.0),
+    Fault("fails after a while", fail_share=0.1, after_s=35),
+    Fault("slow after a while", slowdown=2.5, after_s=35),
+    Fault("fails under load", fail_share=0.3, min_running=2),
+    Fault("slow under load", slowdown=5.0, min_running=2),
+    Fault("fails on one route", fail_share=0.2, route_index=1),
+    Fault("crashes", crash_share=0.01),
+    Fault("stops answering", hang_share=0.1),
 ]
 GOOD = [
     Fault("plain", bad=False),
-    Fault("cold starts", bad=False, cold_s=6),
-    Fault("shared fault", bad=False, shared_fail=0.3),
+    Fault("cold starts", bad=False, warmup_s=6),
+    Fault("shared fault", bad=False, shared_fail_share=0.3),
     Fault(
         "shared fault of a domain",
         bad=False,
-        shared_fail=0.5,
-        shared_domain=True,
+        shared_fail_share=0.5,
+        in_one_domain=True,
     ),
-    Fault("burst of load", bad=False, burst=2.5),
-    Fault("lost and crossed reports", bad=False, lose_reports=0.2),
-    Fault("cut-off domain", bad=False, cut=True),
-    Fault("thin traffic", bad=False, thin=0.05),
+    Fault("burst of load", bad=False, burst_factor=2.5),
+    Fault("lost and crossed reports", bad=False, lost_reports_share=0.2),
+    Fault("cut-off domain", bad=False, cuts_domain=True),
+    Fault("thin traffic", bad=False, rate_factor=0.05),
 ]
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What a trace came to.
+    """Result of a trace.
 
     Args:
         kind: The fault's name.
         bad: Whether the version was bad.
         outcome: ``done``, ``taken back``, ``not run`` or ``running``.
         in_time: Whether all traffic had moved by the deadline.
-        requests: Requests in all.
-        harmed: Requests that met the new version's fault.
-        to_zero_ms: From the first harmed request to the last one sent to
-            the new version; -1 where that does not apply.
-        decided_to_zero_ms: From the verdict to the last one sent to it.
+        requests: All requests.
+        harmed: Requests affected by the new version's fault.
+        to_zero_ms: Time from the first harmed request to the last request to
+            the new version; -1 unless the version was taken back after harm.
+        decided_to_zero_ms: Time from the verdict to the last request to the
+            new version; -1 where ``to_zero_ms`` is.
         report_bytes: Bytes of evidence reports.
-        why: The reason of the outcome.
+        reason: The reason for the outcome.
     """
 
     kind: str
@@ -177,51 +179,57 @@
     to_zero_ms: int
     decided_to_zero_ms: int
     report_bytes: int
-    why: str
+    reason: str
 
 
 class Targets:
-    """The targets of one version: when each slot is free."""
+    """The targets of one version and the time at which each slot is free."""
 
     def __init__(self, count: int, slots: int) -> None:
         self.slots = slots
-        self.free = [[0.0] * slots for _ in range(count)]
-        self.down_until = [0.0] * count
-
-    def busy(self, at: int, now_ms: float) -> int:
-        """Return how many of a target's slots are in use."""
-        return sum(1 for free in self.free[at] if free > now_ms)
+        self.free_at_ms = [[0.0] * slots for _ in range(count)]
+        self.down_until_ms = [0.0] * count
+
+    def running(self, target_index: int, now_ms: float) -> int:
+        """Return the number of a target's slots in use."""
+        return sum(
+            1
+            for free_at_ms in self.free_at_ms[target_index]
+            if free_at_ms > now_ms
+        )
 
-    def run(self, at: int, now_ms: float, took_ms: float) -> float:
+    def run(self, target_index: int, now_ms: float, took_ms: float) -> float:
         """Run a request; return when it ends."""
-        start = max(now_ms, self.free[at][0])
+        start = max(now_ms, self.free_at_ms[target_index][0])
         end = start + took_ms
-        heapq.heapreplace(self.free[at], end)
+        heapq.heapreplace(self.free_at_ms[target_index], end)
         return end
 
 
 class Controller(typing.Protocol):
-    """What decides on a move: the product's conductor, or a baseline."""
+    """Decides on the steps of a move."""
 
     def tick(self, trace: "Trace", now_ms: int) -> None:
-        """Look at the evidence and step."""
+        """Evaluate new evidence and apply a decision, if any."""
 
 
-class Product:
-    """The daemons' conductor and agreed state."""
+class ProductController:
+    """The daemons' own conductor."""
 
-    def __init__(self, knobs: move_parameters.MoveParameters) -> None:
-        self.knobs = knobs
+    def __init__(self, parameters: move_parameters.MoveParameters) -> None:
+        self.parameters = parameters
         self.conductor: conductors.Conductor | None = None
 
     def tick(self, trace: "Trace", now_ms: int) -> None:
-        """Let the conductor decide."""
+        """Pass new reports to the conductor and apply its decision."""
         move = trace.move
         if move.outcome:
             return
         if self.conductor is None:
-            self.conductor = conductors.Conductor(move, self.knobs, now_ms)
-        for report in trace.arrived(now_ms):
+            self.conductor = conductors.Conductor(
+                move, self.parameters, now_ms
+            )
+        for report in trace.take_arrived_reports(now_ms):
             self.conductor.hear(report, now_ms)
         decision = self.conductor.decide(
             move,
@@ -235,50 +243,57 @@
                 self.conductor.stepped(move, now_ms)
 
 
-class Baseline:
-    """Fixed steps and one threshold, as a script would have them."""
+class BaselineController:
+    """Steps at fixed times and fixed thresholds, as in a simple script."""
 
-    STEPS = (50, 250, 500, 1000)
+    STEPS_PERMILLE = (50, 250, 500, 1000)
     STEP_MS = 15_000
-    FAIL_RATE = 0.05
-    SLOWER = 1.5
-    LEAST = 20
-    KEEP_MS = 10_000
+    MAX_FAILURE_RATE = 0.05
+    MAX_SLOWDOWN = 1.5
+    MIN_REQUESTS = 20
+    WINDOW_MS = 10_000
 
     def __init__(self) -> None:
-        self.at = -1
-        self.since_ms = 0
+        self.step_index = -1
+        self.step_started_ms = 0
         self.merger = evidences.Merger()
         self.windows: list[tuple[int, evidences.Window]] = []
 
     def tick(self, trace: "Trace", now_ms: int) -> None:
-        """Step by the clock, take back above the threshold."""
+        """Take the version back above a threshold; else step when due."""
         move = trace.move
         if move.outcome:
             return
-        for report in trace.arrived(now_ms):
+        for report in trace.take_arrived_reports(now_ms):
             self.merger.add_report(report, now_ms)
         if now_ms % 1000 == 0:
             self.windows.append((now_ms, self.merger.take_window()))
-        recent = [w for at, w in self.windows if now_ms - at < self.KEEP_MS]
-        if self._bad(recent):
+        recent = [
+            w
+            for taken_ms, w in self.windows
+            if now_ms - taken_ms < self.WINDOW_MS
+        ]
+        if self._exceeds_threshold(recent):
             outcome = messages.Outcome.TAKEN_BACK
             trace.apply(conductors.End(outcome, "threshold"), now_ms)
-        elif self.at < 0 or now_ms - self.since_ms >= self.STEP_MS:
+        elif (
+            self.step_index < 0
+            or now_ms - self.step_started_ms >= self.STEP_MS
+        ):
             self._step(trace, now_ms)
 
     def _step(self, trace: "Trace", now_ms: int) -> None:
-        self.at += 1
-        self.since_ms = now_ms
-        if self.at < len(self.STEPS):
-            share = self.STEPS[self.at]
+        self.step_index += 1
+        self.step_started_ms = now_ms
+        if self.step_index < len(self.STEPS_PERMILLE):
+            share = self.STEPS_PERMILLE[self.step_index]
             phase = phases.WATCH if share == 1000 else phases.RAMP
             trace.apply(conductors.Step(share, phase, ""), now_ms)
-        elif self.at > len(self.STEPS):
+        elif self.step_index > len(self.STEPS_PERMILLE):
             end = conductors.End(messages.Outcome.DONE, "")
             trace.apply(end, now_ms)
 
-    def _bad(self, windows: list[evidences.Window]) -> bool:
+    def _exceeds_threshold(self, windows: list[evidences.Window]) -> bool:
         totals = {OLD: [0.0, 0.0, 0.0, 0.0], NEW: [0.0, 0.0, 0.0, 0.0]}
         for window in windows:
             for key, counts in window.items():
@@ -289,23 +304,29 @@
                     total[2] += count * 2 ** (bucket / 4)
                     total[3] += count
         new, old = totals[NEW], totals[OLD]
-        if new[0] < self.LEAST:
+        if new[0] < self.MIN_REQUESTS:
             return False
-        if new[1] / new[0] > self.FAIL_RATE:
+        if new[1] / new[0] > self.MAX_FAILURE_RATE:
             return True
-        both = new[3] >= self.LEAST and old[3] >= self.LEAST
-        return both and new[2] / new[3] > self.SLOWER * old[2] / old[3]
+        is_comparable = (
+            new[3] >= self.MIN_REQUESTS and old[3] >= self.MIN_REQUESTS
+        )
+        return (
+            is_comparable
+            and new[2] / new[3] > self.MAX_SLOWDOWN * old[2] / old[3]
+        )
 
 
 class Trace:
-    """One move, simulated.
+    """Simulation of one move.
 
     Args:
         deployment: Sizes and rates.
-        fault: What happens.
-        seed: Seeds everything drawn.
-        controller: What decides.
-        guarded: Whether proxies guard themselves.
+        fault: The fault or disturbance.
+        seed: Seed of all random draws.
+        controller: Decides on the move.
+        halts_locally: Whether proxies halt a bad version by their own
+            evidence.
     """
 
     def __init__(
@@ -315,40 +336,42 @@
         seed: int,
         controller: Controller,
         *,
-        guarded: bool = True,
+        halts_locally: bool = True,
     ) -> None:
         self.deployment = deployment
         self.fault = fault
         self.rng = random.Random(seed)
         self.controller = controller
-        self.guarded = guarded
+        self.halts_locally = halts_locally
         self.state = states.State()
         self.index = 0
-        self._begin()
+        self._start_move()
         count, slots = deployment.targets, deployment.slots
         self.targets = {OLD: Targets(count, slots), NEW: Targets(count, slots)}
         self.collectors = [
             evidences.Collector("m", f"p{n}", 1) for n in range(PROXIES)
         ]
-        self.guards = [self._guard() for _ in range(PROXIES)]
+        self.local_comparisons = [
+            self._new_comparison() for _ in range(PROXIES)
+        ]
         self.halted = [False] * PROXIES
         self.shares = [0] * PROXIES
         self.share_changes: list[tuple[int, int, int, int]] = []
-        self.taken = [0] * PROXIES
+        self.applied_revisions = [0] * PROXIES
         self.reports: list[tuple[int, int, typing.Any]] = []
         self.pending: list[tuple[float, int, int, typing.Any]] = []
-        self.numbers = 0
+        self.sequence = 0
         self.first_new_ms = -1.0
         self.first_harm_ms = -1.0
         self.last_new_ms = -1.0
-        self.whole_ms = -1
+        self.full_traffic_ms = -1
         self.requests = 0
         self.harmed = 0
         self.report_bytes = 0
         self.event_at_ms = self.rng.uniform(8000, 60_000)
         self.event_domain = self.rng.randrange(DOMAINS)
 
-    def _guard(self) -> comparisons.VersionComparison:
+    def _new_comparison(self) -> comparisons.VersionComparison:
         return comparisons.VersionComparison(
             OLD,
             NEW,
@@ -356,13 +379,13 @@
             tolerance=0.01,
         )
 
-    def _command(self, body: typing.Any, number: str, now_ms: int) -> None:
+    def _command(self, body: typing.Any, command_id: str, now_ms: int) -> None:
         kind, data = frames.pack_any(body)
         self.index += 1
         self.state.apply(
             self.index,
             messages.Command(
-                command_id=number,
+                command_id=command_id,
                 operator_name="o",
                 issued_ms=START_WALL_MS + now_ms,
                 kind=kind,
@@ -371,7 +394,7 @@
             ),
         )
 
-    def _begin(self) -> None:
+    def _start_move(self) -> None:
         service = messages.Service("s", [], OLD, 0.2)
         document = messages.ApplyConfiguration([service], [], 0)
         self._command(document, "c", 0)
@@ -381,16 +404,16 @@
 
     @property
     def move(self) -> messages.MoveRecord:
-        """Return the move as agreed."""
+        """Return the move's record in the agreed state."""
         return self.state.moves["m"]
 
     def capacity(self) -> conductors.Capacity:
-        """Return what the fleet announces."""
+        """Return the capacity that the fleet announces."""
         slots = self.deployment.targets * self.deployment.slots
         return conductors.Capacity(slots, slots, self.deployment.targets, [])
 
     def apply(self, decision: conductors.Decision, now_ms: int) -> None:
-        """Agree on a decision and let it spread to the proxies."""
+        """Add a decision to the agreed state and schedule its propagation."""
         match decision:
             case conductors.Step():
                 body: typing.Any = messages.StepMove(
@@ -401,172 +424,182 @@
         self._command(body, "", now_ms)
         record = self.state.items.get(item_store.SHARES + "s")
         share = {s.version: s.permille for s in record.shares}.get(NEW, 0)
-        if share == 1000 and self.whole_ms < 0:
-            self.whole_ms = now_ms
+        if share == 1000 and self.full_traffic_ms < 0:
+            self.full_traffic_ms = now_ms
         for proxy in range(PROXIES):
-            after_ms = int(self.rng.uniform(20, SPREAD_MS))
+            after_ms = int(self.rng.uniform(20, MAX_PROPAGATION_MS))
             if self._is_cut(proxy % DOMAINS, now_ms):
                 after_ms = int(self.event_at_ms + 15_000 - now_ms) + 300
             self.share_changes.append(
                 (now_ms + after_ms, proxy, self.index, share)
             )
 
-    def arrived(self, now_ms: int) -> list[typing.Any]:
-        """Return the reports that have reached the leader."""
+    def take_arrived_reports(self, now_ms: int) -> list[typing.Any]:
+        """Remove and return the reports that have reached the leader."""
         due = [r for r in self.reports if r[0] <= now_ms]
         self.reports = [r for r in self.reports if r[0] > now_ms]
         return [report for _, _, report in sorted(due, key=lambda r: r[:2])]
 
     def _is_cut(self, domain: int, now_ms: float) -> bool:
-        if not self.fault.cut or domain != self.event_domain:
+        if not self.fault.cuts_domain or domain != self.event_domain:
             return False
         return self.event_at_ms <= now_ms < self.event_at_ms + 15_000
 
     # Requests
 
     def run(self) -> Result:
-        """Run the trace to its end."""
+        """Run the trace to its end and return the result."""
         now_ms = 0
-        while now_ms < END_MS and not self._over(now_ms):
-            self._spread(now_ms)
-            self._arrivals(now_ms)
+        while now_ms < MAX_DURATION_MS and not self._is_over(now_ms):
+            self._apply_share_changes(now_ms)
+            self._simulate_arrivals(now_ms)
             now_ms += STEP_MS
-            self._answers(now_ms)
+            self._observe_answers(now_ms)
             if now_ms % 500 == 0:
-                self._report(now_ms)
-            if now_ms % 1000 == 0 and self.guarded:
-                self._guard_all()
-            if now_ms % DECIDE_MS == 0:
+                self._send_reports(now_ms)
+            if now_ms % 1000 == 0 and self.halts_locally:
+                self._halt_bad_versions()
+            if now_ms % DECISION_INTERVAL_MS == 0:
                 self.controller.tick(self, now_ms)
         return self._result()
 
-    def _over(self, now_ms: int) -> bool:
+    def _is_over(self, now_ms: int) -> bool:
         move = self.move
         ended_ms = move.step_ms - START_WALL_MS
         return bool(move.outcome) and now_ms > ended_ms + 3000
 
-    def _spread(self, now_ms: int) -> None:
+    def _apply_share_changes(self, now_ms: int) -> None:
         due = [c for c in self.share_changes if c[0] <= now_ms]
         if due:
             self.share_changes = [
                 c for c in self.share_changes if c[0] > now_ms
             ]
             for _, proxy, revision, share in sorted(due):
-                if revision > self.taken[proxy]:
-                    self.taken[proxy] = revision
+                if revision > self.applied_revisions[proxy]:
+                    self.applied_revisions[proxy] = revision
                     self.shares[proxy] = share
 
-    def _arrivals(self, now_ms: int) -> None:
-        rate = self.deployment.rate * self.fault.thin
-        if self.fault.burst > 1:
+    def _simulate_arrivals(self, now_ms: int) -> None:
+        rate = self.deployment.rate * self.fault.rate_factor
+        if self.fault.burst_factor > 1:
             if 0 <= now_ms - self.event_at_ms < 15_000:
-                rate *= self.fault.burst
+                rate *= self.fault.burst_factor
         at_ms = float(now_ms)
         while True:
             at_ms += self.rng.expovariate(rate) * 1000
             if at_ms >= now_ms + STEP_MS:
                 return
-            self._request(at_ms)
+            self._simulate_request(at_ms)
 
-    def _request(self, now_ms: float) -> None:
+    def _simulate_request(self, now_ms: float) -> None:
         rng = self.rng
         proxy = rng.randrange(PROXIES)
-        route = rng.choices(
+        route_index = rng.choices(
             range(len(self.deployment.routes)),
             list(self.deployment.routes.values()),
         )[0]
         share = 0 if self.halted[proxy] else self.shares[proxy]
         version = NEW if rng.randrange(1000) < share else OLD
         domain = proxy % DOMAINS
-        at = domain * 2 + rng.randrange(2)
+        target_index = domain * 2 + rng.randrange(2)
         self.requests += 1
         if version == NEW:
             self.last_new_ms = now_ms
             if self.first_new_ms < 0:
                 self.first_new_ms = now_ms
-        took_ms, failed, harmed = self._fate(
-            version, at, route, domain, now_ms
+        took_ms, failed, harmed = self._run_on_target(
+            version, target_index, route_index, domain, now_ms
         )
         if harmed:
             self.harmed += 1
             if self.first_harm_ms < 0:
                 self.first_harm_ms = now_ms
         cold = version == NEW and now_ms - self.first_new_ms < 5000
-        self.numbers += 1
-        observed = (route, version, domain, took_ms, failed, cold)
+        self.sequence += 1
+        observation = (route_index, version, domain, took_ms, failed, cold)
         heapq.heappush(
-            self.pending, (now_ms + took_ms, self.numbers, proxy, observed)
+            self.pending, (now_ms + took_ms, self.sequence, proxy, observation)
         )
 
-    def _fate(
-        self, version: str, at: int, route: int, domain: int, now_ms: float
+    def _run_on_target(
+        self,
+        version: str,
+        target_index: int,
+        route_index: int,
+        domain: int,
+        now_ms: float,
     ) -> tuple[float, bool, bool]:
-        """Return how long a request takes, whether it fails and is harmed."""
+        """Return a request's run time, whether it fails, whether it is harmed.
+
+        A request is harmed if the new version's fault affects it.
+        """
         rng = self.rng
         fault = self.fault
         targets = self.targets[version]
-        base = self.deployment.base_ms
+        base = self.deployment.median_ms
         took_ms = base * math.exp(rng.gauss(0, 0.4))
         failed = rng.random() < 0.001
-        if fault.shared_fail:
-            here = not fault.shared_domain or domain == self.event_domain
-            if here and 0 <= now_ms - self.event_at_ms < 12_000:
-                failed = failed or rng.random() < fault.shared_fail
+        if fault.shared_fail_share:
+            affected = not fault.in_one_domain or domain == self.event_domain
+            if affected and 0 <= now_ms - self.event_at_ms < 12_000:
+                failed = failed or rng.random() < fault.shared_fail_share
         if version == OLD:
-            end = targets.run(at, now_ms, took_ms)
+            end = targets.run(target_index, now_ms, took_ms)
             return end - now_ms, failed, False
-        if now_ms < targets.down_until[at]:
+        if now_ms < targets.down_until_ms[target_index]:
             return 1.0, True, fault.bad
         age_ms = now_ms - self.first_new_ms
-        if age_ms < fault.cold_s * 1000:
+        if age_ms < fault.warmup_s * 1000:
             took_ms *= 5
         harmed = False
-        shows = (
+        fault_applies = (
             age_ms >= fault.after_s * 1000
-            and fault.route in (-1, route)
-            and targets.busy(at, now_ms) >= fault.above_busy
+            and fault.route_index in (-1, route_index)
+            and targets.running(target_index, now_ms) >= fault.min_running
         )
-        if shows and fault.bad:
-            if rng.random() < fault.fail:
+        if fault_applies and fault.bad:
+            if rng.random() < fault.fail_share:
                 failed = harmed = True
-            if fault.slow > 1:
-                took_ms *= fault.slow
+            if fault.slowdown > 1:
+                took_ms *= fault.slowdown
                 harmed = True
-            if rng.random() < fault.hang:
+            if rng.random() < fault.hang_share:
                 return float(TIMEOUT_MS), True, True
-            if rng.random() < fault.crash:
-                targets.down_until[at] = now_ms + 2000
+            if rng.random() < fault.crash_share:
+                targets.down_until_ms[target_index] = now_ms + 2000
                 return 5.0, True, True
-        end = targets.run(at, now_ms, took_ms)
+        end = targets.run(target_index, now_ms, took_ms)
         return min(end - now_ms, TIMEOUT_MS), failed, harmed
 
-    def _answers(self, now_ms: int) -> None:
+    def _observe_answers(self, now_ms: int) -> None:
         names = list(self.deployment.routes)
         while self.pending and self.pending[0][0] <= now_ms:
-            _, _, proxy, observed = heapq.heappop(self.pending)
-            route, version, domain, took_ms, failed, cold = observed
-            key = evidences.TallyKey(names[route], version, f"d{domain}")
+            _, _, proxy, observation = heapq.heappop(self.pending)
+            route_index, version, domain, took_ms, failed, cold = observation
+            key = evidences.TallyKey(names[route_index], version, f"d{domain}")
             self.collectors[proxy].observe(
                 key, int(took_ms * 1000), failed, cold
             )
 
-    def _report(self, now_ms: int) -> None:
+    def _send_reports(self, now_ms: int) -> None:
         for proxy, collector in enumerate(self.collectors):
             report = collector.report(now_ms)
             if report is None:
                 continue
             self.report_bytes += len(frames.encode(report))
-            lost = self.rng.random() < self.fault.lose_reports
+            lost = self.rng.random() < self.fault.lost_reports_share
             if lost or self._is_cut(proxy % DOMAINS, now_ms):
                 continue
-            late = 1500 if self.fault.lose_reports else 100
-            at_ms = now_ms + int(self.rng.uniform(5, late))
-            self.numbers += 1
-            self.reports.append((at_ms, self.numbers, report))
+            max_delay_ms = 1500 if self.fault.lost_reports_share else 100
+            at_ms = now_ms + int(self.rng.uniform(5, max_delay_ms))
+            self.sequence += 1
+            self.reports.append((at_ms, self.sequence, report))
 
-    def _guard_all(self) -> None:
+    def _halt_bad_versions(self) -> None:
         for proxy, collector in enumerate(self.collectors):
-            verdict = self.guards[proxy].add(collector.take_window())
+            verdict = self.local_comparisons[proxy].add(
+                collector.take_window()
+            )
             if verdict is not None and not self.halted[proxy]:
                 self.halted[proxy] = True
                 collector.halted = True
@@ -576,20 +609,20 @@
         move = self.move
         names = messages.Outcome._VALUES_TO_NAMES
         outcome = names.get(move.outcome, "running").lower().replace("_", " ")
-        to_zero = decided = -1
+        to_zero = decided_to_zero = -1
         if outcome == "taken back" and self.first_harm_ms >= 0:
             to_zero = int(self.last_new_ms - self.first_harm_ms)
             ended_ms = move.step_ms - START_WALL_MS
-            decided = max(int(self.last_new_ms - ended_ms), 0)
+            decided_to_zero = max(int(self.last_new_ms - ended_ms), 0)
         return Result(
             kind=self.fault.name,
             bad=self.fault.bad,
             outcome=outcome,
-            in_time=0 <= self.whole_ms <= DEADLINE_MS,
+            in_time=0 <= self.full_traffic_ms <= DEADLINE_MS,
             requests=self.requests,
             harmed=self.harmed,
             to_zero_ms=to_zero,
-            decided_to_zero_ms=decided,
+            decided_to_zero_ms=decided_to_zero,
             report_bytes=self.report_bytes,
-            why=move.reason,
+            reason=move.reason,
         )
