--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,9 @@
-"""What each mechanism of placing and queueing is worth to callers.
+"""Ablation study of the mechanisms of placement and queueing.
 
-Each row of ``ablation.yaml`` takes one mechanism out of a scratch copy. The
-copy and the whole play the same loads on the same seeds; the difference is
-what the mechanism is worth. Prints a table and, last, JSON.
+Each row of ``ablation.yaml`` disables one mechanism in a scratch copy. The
+copy and the unchanged sources simulate the same loads with the same seeds;
+the difference is the mechanism's contribution. Prints a table and, last,
+JSON.
 """
 
 import argparse
@@ -19,21 +20,21 @@
 import yaml
 
 TABLE = pathlib.Path(__file__).with_name("ablation.yaml")
-PLAYS = pathlib.Path(__file__).with_name("_plays.py")
-AT_ONCE = 3
-# Two-sided 95% of Student's t for eight pairs.
+SIMULATION_SCRIPT = pathlib.Path(__file__).with_name("_plays.py")
+MAX_PARALLEL_ROWS = 3
+# Two-sided 95% critical value of Student's t for eight pairs.
 T_95 = 2.365
 
 
 @dataclasses.dataclass(slots=True)
 class Row:
-    """One mechanism.
+    """A mechanism and the edit that disables it.
 
     Args:
-        name: What it does.
-        file: Where it stands.
-        old: The text that is taken out.
-        new: What stands in its place.
+        name: The mechanism's name; empty for the unchanged sources.
+        file: The source file, relative to the root of the repository.
+        old: The text to replace; it occurs once in the file.
+        new: The replacement.
     """
 
     name: str
@@ -43,15 +44,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Worth:
-    """What a mechanism is worth at one load.
+class Contribution:
+    """A mechanism's contribution at one load.
 
     Args:
-        name: The mechanism.
+        name: The mechanism's name.
         load: The load's name.
-        credit: Callers' credit with it less that without it.
-        within: Half of the 95% interval of that.
-        far_kib: KiB a call that crosses with it less those without it.
+        credit: Mean increase of callers' credit by the mechanism.
+        within: Half-width of the 95% confidence interval of ``credit``.
+        far_kib: Mean increase of cross-domain traffic, in KiB per call.
     """
 
     name: str
@@ -61,67 +62,82 @@
     far_kib: float
 
 
-def play(row: Row, seeds: int) -> list[dict[str, float]]:
+def simulate_without(row: Row, seeds: int) -> list[dict[str, float]]:
     """Return the outcomes of all loads and seeds without a mechanism."""
-    with safeguards.copy_with(row.file, row.old, row.new) as copy:
-        ran = subprocess.run(
-            [sys.executable, str(PLAYS), str(seeds)],
-            env=safeguards.environment_of(copy),
+    with safeguards.patched_copy(row.file, row.old, row.new) as copy:
+        completed = subprocess.run(
+            [sys.executable, str(SIMULATION_SCRIPT), str(seeds)],
+            env=safeguards.environment_for(copy),
             capture_output=True,
             text=True,
             check=True,
         )
-    return json.loads(ran.stdout)
+    return json.loads(completed.stdout)
 
 
 def compare(
-    row: Row, whole: list[dict[str, float]], without: list[dict[str, float]]
-) -> list[Worth]:
-    """Return what a mechanism is worth at each load."""
-    found = []
-    for load in sorted({outcome["load"] for outcome in whole}):
+    row: Row, full: list[dict[str, float]], ablated: list[dict[str, float]]
+) -> list[Contribution]:
+    """Return a mechanism's contribution at each load."""
+    contributions = []
+    for load in sorted({outcome["load"] for outcome in full}):
         pairs = [
             (a, b)
-            for a, b in zip(whole, without, strict=True)
+            for a, b in zip(full, ablated, strict=True)
             if a["load"] == load
         ]
-        credits = [a["credit"] - b["credit"] for a, b in pairs]
-        spread = statistics.stdev(credits) if len(credits) > 1 else 0.0
-        found.append(
-            Worth(
+        differences = [a["credit"] - b["credit"] for a, b in pairs]
+        deviation = (
+            statistics.stdev(differences) if len(differences) > 1 else 0.0
+        )
+        contributions.append(
+            Contribution(
                 row.name,
                 load,
-                statistics.mean(credits),
-                T_95 * spread / math.sqrt(len(credits)),
+                statistics.mean(differences),
+                T_95 * deviation / math.sqrt(len(differences)),
                 statistics.mean(a["far_kib"] - b["far_kib"] for a, b in pairs),
             )
         )
-    return found
+    return contributions
 
 
 def main() -> int:
-    """Play every row and print what it is worth."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--only", default="", help="part of a name")
-    options.add_argument("--seeds", type=int, default=8)
-    given = options.parse_args()
+    """Simulate every row and print its contribution."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument(
+        "--only", default="", help="part of a mechanism's name"
+    )
+    parser.add_argument("--seeds", type=int, default=8)
+    arguments = parser.parse_args()
     rows = yaml.safe_load(TABLE.read_text(encoding="utf-8"))
-    table = [Row(**row) for row in rows if given.only in row["name"]]
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
-        played = list(
-            pool.map(lambda row: play(row, given.seeds), [Row(""), *table])
+    table = [Row(**row) for row in rows if arguments.only in row["name"]]
+    with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_ROWS) as pool:
+        outcomes = list(
+            pool.map(
+                lambda row: simulate_without(row, arguments.seeds),
+                [Row(""), *table],
+            )
         )
-    found = [
-        worth
-        for row, without in zip(table, played[1:], strict=True)
-        for worth in compare(row, played[0], without)
+    contributions = [
+        contribution
+        for row, ablated in zip(table, outcomes[1:], strict=True)
+        for contribution in compare(row, outcomes[0], ablated)
     ]
-    for worth in found:
+    for contribution in contributions:
         print(
-            f"{worth.name:45} {worth.load:10} {worth.credit:+.4f} "
-            f"+-{worth.within:.4f} {worth.far_kib:+.2f} KiB far"
+            f"{contribution.name:45} {contribution.load:10} "
+            f"{contribution.credit:+.4f} +-{contribution.within:.4f} "
+            f"{contribution.far_kib:+.2f} KiB cross-domain"
+        )
+    print(
+        json.dumps(
+            [
+                dataclasses.asdict(contribution)
+                for contribution in contributions
+            ]
         )
-    print(json.dumps([dataclasses.asdict(worth) for worth in found]))
+    )
     return 0
 
 
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -1,8 +1,8 @@
-"""Takes each safeguard out in turn and shows the test that then fails.
+"""Checks by mutation that each safeguard is covered by a test.
 
-A safeguard whose removal no test notices is not proved. Each row of
-``safeguards.yaml`` names a file, what is taken out, what stands in its place
-and the test that must fail. It works on a scratch copy and prints JSON last.
+Each row of ``safeguards.yaml`` names a file, the text that implements the
+safeguard, a replacement that disables it and the test that must then fail.
+Works on scratch copies and prints JSON last.
 """
 
 import argparse
@@ -22,20 +22,20 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 TABLE = pathlib.Path(__file__).with_name("safeguards.yaml")
-AT_ONCE = 4
-TIMEOUT_S = 300
+MAX_PARALLEL_TESTS = 4
+TEST_TIMEOUT_S = 300
 
 
 @dataclasses.dataclass(slots=True)
 class Safeguard:
-    """One safeguard and its proof.
+    """A safeguard, the edit that disables it and the test that covers it.
 
     Args:
-        name: What it guards against.
-        file: Where it stands.
-        old: The text that is taken out.
-        new: What stands in its place.
-        test: The test that must fail without it.
+        name: What it ensures.
+        file: The source file, relative to the root of the repository.
+        old: The text to replace; it occurs once in the file.
+        new: The replacement.
+        test: The test that must fail without the safeguard.
     """
 
     name: str
@@ -46,8 +46,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Shown:
-    """What happened without a safeguard."""
+class CheckResult:
+    """Result of the test of a disabled safeguard.
+
+    Args:
+        name: The safeguard's name.
+        test: The test that ran.
+        noticed: Whether the test failed, as it must.
+        problem: Why the test could not run, else empty.
+    """
 
     name: str
     test: str
@@ -56,18 +63,18 @@
 
 
 @contextlib.contextmanager
-def copy_with(
+def patched_copy(
     file: str, old: str, new: str
 ) -> collections.abc.Iterator[pathlib.Path]:
     """Make a scratch copy of the sources with one text replaced.
 
     Args:
-        file: Where the text stands; empty for an unchanged copy.
-        old: The text.
-        new: What stands in its place.
+        file: The file to change; empty for an unchanged copy.
+        old: The text to replace.
+        new: The replacement.
 
     Raises:
-        ValueError: The text does not stand there once.
+        ValueError: The text does not occur exactly once in the file.
     """
     with tempfile.TemporaryDirectory() as scratch:
         copy = pathlib.Path(scratch)
@@ -79,13 +86,13 @@
             text = path.read_text(encoding="utf-8")
             if text.count(old) != 1:
                 count = text.count(old)
-                raise ValueError(f"the text stands there {count} times")
+                raise ValueError(f"the text to replace occurs {count} times")
             path.write_text(text.replace(old, new), encoding="utf-8")
         yield copy
 
 
-def environment_of(copy: pathlib.Path) -> dict[str, str]:
-    """Return the environment in which a copy's sources are imported."""
+def environment_for(copy: pathlib.Path) -> dict[str, str]:
+    """Return the environment in which Python imports a copy's sources."""
     sources = sorted(str(path) for path in copy.glob("libs/*/src"))
     return os.environ | {
         "PYTHONPATH": os.pathsep.join(sources),
@@ -93,43 +100,49 @@
     }
 
 
-def show(safeguard: Safeguard) -> Shown:
-    """Run a safeguard's test on a copy without it."""
+def run_check(safeguard: Safeguard) -> CheckResult:
+    """Disable a safeguard in a copy and run its test."""
     try:
-        with copy_with(safeguard.file, safeguard.old, safeguard.new) as copy:
+        with patched_copy(
+            safeguard.file, safeguard.old, safeguard.new
+        ) as copy:
             return _run(safeguard, copy)
     except ValueError as error:
-        return Shown(safeguard.name, safeguard.test, False, str(error))
+        return CheckResult(safeguard.name, safeguard.test, False, str(error))
 
 
-def _run(safeguard: Safeguard, copy: pathlib.Path) -> Shown:
-    ran = subprocess.run(
+def _run(safeguard: Safeguard, copy: pathlib.Path) -> CheckResult:
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-x", "-q", safeguard.test],
         cwd=copy,
-        env=environment_of(copy),
+        env=environment_for(copy),
         capture_output=True,
         text=True,
-        timeout=TIMEOUT_S,
+        timeout=TEST_TIMEOUT_S,
+    )
+    problem = "" if completed.returncode in (0, 1) else completed.stdout[-300:]
+    return CheckResult(
+        safeguard.name, safeguard.test, completed.returncode == 1, problem
     )
-    problem = "" if ran.returncode in (0, 1) else ran.stdout[-300:]
-    return Shown(safeguard.name, safeguard.test, ran.returncode == 1, problem)
 
 
 def main() -> int:
-    """Show every safeguard; return 1 if one is not noticed."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--only", default="", help="part of a name")
-    only = options.parse_args().only
+    """Check every safeguard; return 1 if a test did not fail."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument(
+        "--only", default="", help="part of a safeguard's name"
+    )
+    only = parser.parse_args().only
     rows = yaml.safe_load(TABLE.read_text(encoding="utf-8"))
     table = [Safeguard(**row) for row in rows if only in row["name"]]
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
-        found = list(pool.map(show, table))
-    for shown in found:
-        word = "noticed" if shown.noticed else "NOT NOTICED"
-        print(f"{word}: {shown.name} {shown.problem}")
-    noticed = sum(shown.noticed for shown in found)
-    print(json.dumps({"safeguards": len(found), "noticed": noticed}))
-    return 0 if noticed == len(found) else 1
+    with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_TESTS) as pool:
+        results = list(pool.map(run_check, table))
+    for result in results:
+        word = "noticed" if result.noticed else "NOT NOTICED"
+        print(f"{word}: {result.name} {result.problem}")
+    noticed = sum(result.noticed for result in results)
+    print(json.dumps({"safeguards": len(results), "noticed": noticed}))
+    return 0 if noticed == len(results) else 1
 
 
 if __name__ == "__main__":
