--- a/bench/once.py
+++ b/bench/once.py
@@ -1,7 +1,8 @@
-"""Measures what running at most once costs a call.
+"""Measures the latency that at-most-once execution adds to a call.
 
-Four proxies with a target each; once-only calls without a key, then with a
-key, through one proxy, paired in rounds. Prints JSON last.
+Runs four proxies with a target each. Sends once-only calls through one proxy,
+without and with an idempotency key in turn, for several rounds. Prints JSON
+last.
 """
 
 import argparse
@@ -20,31 +21,33 @@
 ROOT = pathlib.Path(__file__).parent.parent
 FOLDER = ROOT / ".run" / "bench-once"
 HOSTS = {"h1": "ariana", "h2": "ariana", "h3": "manouba", "h4": "manouba"}
-AHEAD_MS = 20_000
-RATE = 50.0
+# Keys are dated ahead of the clock because a ledger replica confirms only keys
+# dated after its start.
+KEY_AHEAD_MS = 20_000
+RATE_PER_S = 50.0
 ROUNDS = 4
 
 
 class KeyedShape(load.Shape):
-    """A payment that draws a new key each time it is sent."""
+    """A request that gets a new idempotency key each time it is sent."""
 
-    numbers = itertools.count()
+    counter = itertools.count()
 
     def to_bytes(self) -> bytes:
-        """Return the request with a key of its own."""
-        now_ms = int(time.time() * 1000) + AHEAD_MS
-        key = f"{now_ms}-{next(self.numbers)}-{random.random()}"
-        keyed = load.Shape(
+        """Return the request with a new key."""
+        issued_ms = int(time.time() * 1000) + KEY_AHEAD_MS
+        key = f"{issued_ms}-{next(self.counter)}-{random.random()}"
+        request = load.Shape(
             self.method,
             self.path,
             f"Idempotency-Key: {key}\r\n",
             self.body,
         )
-        return keyed.to_bytes()
+        return request.to_bytes()
 
 
 def build(fleet: fleets.LocalFleet) -> None:
-    """Add the processes."""
+    """Start the processes and wait until all proxies can reach a target."""
     fleet.add_controls()
     fleet.add_proxies(HOSTS)
     for host in HOSTS:
@@ -68,26 +71,28 @@
 
 
 def main() -> int:
-    """Run the measurement."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--seconds", type=float, default=5)
-    seconds = options.parse_args().seconds
+    """Run the measurement and print the report."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seconds", type=float, default=5)
+    seconds = parser.parse_args().seconds
     shutil.rmtree(FOLDER, ignore_errors=True)
     shapes = {
         "without key": load.Shape("POST", "/deposits", body=b"x"),
         "with key": KeyedShape("POST", "/deposits", body=b"x"),
     }
-    found: dict[str, list[load.Sample]] = {name: [] for name in shapes}
+    samples_by_name: dict[str, list[load.Sample]] = {
+        name: [] for name in shapes
+    }
     with fleets.LocalFleet(
         FOLDER, domains=["ariana", "manouba"], controls=1
     ) as fleet:
         build(fleet)
         address = fleet.members["h1"].address("callers")
-        for turn in range(ROUNDS):
+        for round_index in range(ROUNDS):
             for name, shape in shapes.items():
-                sender = load.Load([address], RATE, seed=turn)
+                sender = load.Load([address], RATE_PER_S, seed=round_index)
                 asyncio.run(sender.run(seconds, [shape]))
-                found[name].extend(sender.samples)
+                samples_by_name[name].extend(sender.samples)
     report = {
         name: {
             "requests": len(samples),
@@ -95,7 +100,7 @@
             "p50_us": load.quantile_us(samples, 0.5),
             "p99_us": load.quantile_us(samples, 0.99),
         }
-        for name, samples in found.items()
+        for name, samples in samples_by_name.items()
     }
     print(json.dumps(report))
     return 0
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,8 +1,8 @@
-"""Measures what a proxy adds to a call, and goodput under overload.
+"""Measures the latency that proxies add, and goodput under overload.
 
-Real processes on loopback. The same target is asked directly and through
-one hop and two, paired in one run; then its capacity is offered once, twice
-and three times, with the proxy's limits and without. Prints JSON last.
+Runs real processes on loopback. Calls the same target directly, through one
+hop and through two, paired in one run. Then offers a target one, two and three
+times its capacity, with and without the proxy's limits. Prints JSON last.
 """
 
 import argparse
@@ -30,11 +30,11 @@
 """
 PATHS = ("direct", "one hop", "two hops")
 SLOTS = 4
-SMALL_MS = 20.0
+SERVICE_TIME_MS = 20.0
 
 
 def build(fleet: fleets.LocalFleet) -> None:
-    """Add one control process, two proxies and their targets."""
+    """Start one control process, two proxies and their targets."""
     fleet.add_controls()
     fleet.add_proxies({"near": "d", "far": "d"})
     fleet.add_target(
@@ -51,7 +51,7 @@
         service="small",
         version="v1",
         slots=SLOTS,
-        behave={"delay_ms": SMALL_MS, "jitter": 0, "workers": SLOTS},
+        behave={"delay_ms": SERVICE_TIME_MS, "jitter": 0, "workers": SLOTS},
     )
     fleet.start()
     fleet.wait_leader()
@@ -66,10 +66,18 @@
         )
 
 
-def ask(
+def send_load(
     address: str, rate: float, duration_s: float, path: str, seed: int
 ) -> list[load.Sample]:
-    """Send a load and return its samples."""
+    """Send requests at a fixed rate and return their samples.
+
+    Args:
+        address: Where to send them.
+        rate: Requests per second.
+        duration_s: Length of the load.
+        path: Path of the requests.
+        seed: Seed of the arrival times.
+    """
     sender = load.Load([address], rate, seed=seed)
     asyncio.run(sender.run(duration_s, [load.Shape(path=path)]))
     return sender.samples
@@ -78,30 +86,38 @@
 def added_latency(
     fleet: fleets.LocalFleet, rate: float, duration_s: float, rounds: int
 ) -> dict[str, typing.Any]:
-    """Return what each path adds to the direct one at a rate.
+    """Return the latency and CPU time that each path adds to a direct call.
+
+    The CPU time is that of both proxies, less what they use while the target
+    is called directly.
 
-    The processor time is that of both proxies, less what they spend while
-    the target is asked directly.
+    Args:
+        fleet: The fleet.
+        rate: Calls per second.
+        duration_s: Total length of the load on each path.
+        rounds: Number of rounds over which the load is spread.
     """
     addresses = {
         "direct": fleet.members["t1"].address("http"),
         "one hop": fleet.members["near"].address("callers"),
         "two hops": fleet.members["far"].address("callers"),
     }
-    found: dict[str, list[load.Sample]] = {path: [] for path in PATHS}
-    spent = dict.fromkeys(PATHS, 0.0)
+    samples_by_path: dict[str, list[load.Sample]] = {
+        path: [] for path in PATHS
+    }
+    cpu_used_s = dict.fromkeys(PATHS, 0.0)
     proxies = [fleet.members[host] for host in ("near", "far")]
-    for turn in range(rounds):
+    for round_index in range(rounds):
         for path in PATHS:
             before = sum(proxy.cpu_s for proxy in proxies)
-            samples = ask(
-                addresses[path], rate, duration_s / rounds, "/x", turn
+            samples = send_load(
+                addresses[path], rate, duration_s / rounds, "/x", round_index
             )
-            found[path].extend(samples)
-            spent[path] += sum(proxy.cpu_s for proxy in proxies) - before
+            samples_by_path[path].extend(samples)
+            cpu_used_s[path] += sum(proxy.cpu_s for proxy in proxies) - before
     figures: dict[str, typing.Any] = {"rate": rate}
     for path in PATHS:
-        samples = found[path]
+        samples = samples_by_path[path]
         figures[path] = {
             "requests": len(samples),
             "failed": sum(s.status != 200 for s in samples),
@@ -114,57 +130,71 @@
             figures[path][f"added_{name}"] = (
                 figures[path][name] - figures["direct"][name]
             )
-        used = spent[path] - spent["direct"]
-        figures[path]["cpu_us_a_call"] = round(used / len(found[path]) * 1e6)
+        added_cpu_s = cpu_used_s[path] - cpu_used_s["direct"]
+        figures[path]["cpu_us_a_call"] = round(
+            added_cpu_s / len(samples_by_path[path]) * 1e6
+        )
     return figures
 
 
 def goodput(
-    fleet: fleets.LocalFleet, times: float, duration_s: float
+    fleet: fleets.LocalFleet, load_factor: float, duration_s: float
 ) -> dict[str, typing.Any]:
-    """Return answers in time when capacity is offered some times over."""
-    capacity = SLOTS / (SMALL_MS / 1000)
+    """Return goodput with and without the proxy's limits.
+
+    Args:
+        fleet: The fleet.
+        load_factor: Offered load as a multiple of the target's capacity.
+        duration_s: Length of each load.
+    """
+    capacity = SLOTS / (SERVICE_TIME_MS / 1000)
     figures: dict[str, typing.Any] = {
-        "offered": capacity * times,
+        "offered": capacity * load_factor,
         "capacity": capacity,
     }
-    for who, address, path in (
+    for label, address, path in (
         ("with limits", fleet.members["near"].address("callers"), "/small"),
         ("without", fleet.members["t2"].address("http"), "/small"),
     ):
-        samples = ask(address, capacity * times, duration_s, path, 7)
-        good = [s for s in samples if s.status == 200 and s.took_us < 300_000]
+        samples = send_load(
+            address, capacity * load_factor, duration_s, path, 7
+        )
+        timely = [
+            s for s in samples if s.status == 200 and s.took_us < 300_000
+        ]
         refused = [s for s in samples if s.status == 503]
-        figures[who] = {
-            "goodput": round(len(good) / duration_s, 1),
-            "p99_us_good": load.quantile_us(good, 0.99),
+        figures[label] = {
+            "goodput": round(len(timely) / duration_s, 1),
+            "p99_us_good": load.quantile_us(timely, 0.99),
             "refused": len(refused),
             "p99_us_refused": load.quantile_us(refused, 0.99),
-            "other": len(samples) - len(good) - len(refused),
+            "other": len(samples) - len(timely) - len(refused),
         }
     return figures
 
 
 def main() -> int:
-    """Run the measurement."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--seconds", type=float, default=12)
-    options.add_argument("--rates", default="1,50,300")
-    options.add_argument("--no-overload", action="store_true")
-    chosen = options.parse_args()
+    """Run both measurements and print the report."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seconds", type=float, default=12)
+    parser.add_argument("--rates", default="1,50,300")
+    parser.add_argument("--no-overload", action="store_true")
+    arguments = parser.parse_args()
     shutil.rmtree(FOLDER, ignore_errors=True)
     report: dict[str, typing.Any] = {"added": [], "goodput": []}
     with fleets.LocalFleet(FOLDER, domains=["d"], controls=1) as fleet:
         build(fleet)
         time.sleep(2)
-        for rate in (float(rate) for rate in chosen.rates.split(",")):
-            longer = 2.5 if rate < 10 else 1.0
-            figures = added_latency(fleet, rate, chosen.seconds * longer, 4)
+        for rate in (float(rate) for rate in arguments.rates.split(",")):
+            duration_factor = 2.5 if rate < 10 else 1.0
+            figures = added_latency(
+                fleet, rate, arguments.seconds * duration_factor, 4
+            )
             report["added"].append(figures)
             print(json.dumps(figures), flush=True)
-        if not chosen.no_overload:
-            for times in (1, 2, 3):
-                figures = goodput(fleet, times, 5.0)
+        if not arguments.no_overload:
+            for load_factor in (1, 2, 3):
+                figures = goodput(fleet, load_factor, 5.0)
                 report["goodput"].append(figures)
                 print(json.dumps(figures), flush=True)
         report["rss_mb"] = {
