--- a/bench/roles.py
+++ b/bench/roles.py
@@ -1,8 +1,7 @@
-"""Measures what each role's work costs against the size of the fleet.
+"""Measures the cost of each role as a function of fleet size.
 
-The cores themselves are timed in one process at several fleet sizes, up to
-twice the size of two years from now, and a line is fitted to the points.
-Prints JSON last.
+Times the cores in one process at several fleet sizes, up to twice the size
+planned for two years ahead, and fits a line to the points. Prints JSON last.
 """
 
 import argparse
@@ -24,22 +23,24 @@
 from trefoil_wire import frames
 from trefoil_wire import messages
 
-SIZES = (108, 215, 430, 860, 1720)
+FLEET_SIZES = (108, 215, 430, 860, 1720)
 SERVICES = 31
 DOMAINS = 10
 ROUTES_PER_SERVICE = 4
 
 
-def timed_ms(work: typing.Callable[[], typing.Any], times: int) -> float:
-    """Return the mean processor time of some work in milliseconds."""
+def mean_cpu_ms(
+    function: typing.Callable[[], typing.Any], repetitions: int
+) -> float:
+    """Return the mean CPU time of a call in milliseconds."""
     start = time.process_time()
-    for _ in range(times):
-        work()
-    return (time.process_time() - start) / times * 1000
+    for _ in range(repetitions):
+        function()
+    return (time.process_time() - start) / repetitions * 1000
 
 
 def records_of(hosts: int) -> record_store.Records:
-    """Return the records of a fleet."""
+    """Return the records of a fleet of this many hosts."""
     records = record_store.Records()
     for n in range(hosts):
         records.put(record(n, 1), 0)
@@ -102,52 +103,52 @@
 
 
 def fleet_costs(hosts: int) -> dict[str, float]:
-    """Return what a proxy's view of a fleet costs."""
+    """Return the cost of a proxy's view of a fleet."""
     tracemalloc.start()
     records = records_of(hosts)
-    kept = tracemalloc.get_traced_memory()[0]
+    records_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     endpoints = routing.Endpoints()
     sequence = iter(range(2, 1 << 30))
-    whole = list(records.by_host.values())
-    size = len(frames.encode(messages.RecordsDelta(whole[:1])))
+    all_records = list(records.by_host.values())
+    size = len(frames.encode(messages.RecordsDelta(all_records[:1])))
     summary = records.summary(0, recent_only=False, reply_wanted=True)
 
-    def one_record() -> None:
+    def update_record() -> None:
         records.put(record(7, next(sequence)), 0)
 
     return {
         "hosts": hosts,
-        "records_kb": round(kept / 1024, 1),
+        "records_kb": round(records_bytes / 1024, 1),
         "rebuild_ms": round(
-            timed_ms(lambda: endpoints.rebuild(records, None, 0), 20), 3
+            mean_cpu_ms(lambda: endpoints.rebuild(records, None, 0), 20), 3
         ),
-        "record_us": round(timed_ms(one_record, 2000) * 1000, 2),
-        "tick_ms": round(timed_ms(lambda: records.expire(0), 200), 4),
+        "record_us": round(mean_cpu_ms(update_record, 2000) * 1000, 2),
+        "tick_ms": round(mean_cpu_ms(lambda: records.expire(0), 200), 4),
         "record_bytes": size,
         "summary_bytes": len(frames.encode(summary)),
     }
 
 
 def control_costs() -> dict[str, float]:
-    """Return what a change costs a control process."""
+    """Return the cost of a change at a control process."""
     state = configuration()
     numbers = iter(range(1, 1 << 30))
 
-    def change() -> None:
+    def apply_change() -> None:
         number = next(numbers)
         body = messages.DrainHost(f"host-{number % 50}", bool(number % 2))
         state.apply(number + 1, command(body, f"c{number}"))
 
-    def decode() -> None:
+    def build_routes() -> None:
         items = item_store.Items.from_list(
             state.items.revision, state.items.by_key.values()
         )
         routing.RouteTable(items)
 
-    apply_ms = timed_ms(change, 1000)
-    whole = state.items.delta_since(0)
-    last = state.items.delta_since(state.items.revision - 1)
+    apply_ms = mean_cpu_ms(apply_change, 1000)
+    full_delta = state.items.delta_since(0)
+    last_delta = state.items.delta_since(state.items.revision - 1)
     raft = rafts.Raft(
         "a#first",
         voters=["a#first"],
@@ -156,25 +157,25 @@
     )
     raft.tick(10_000)
     body = messages.CommandRequest(command(messages.Noop(1), "x"), 0)
-    held = state.items
+    held_items = state.items
     return {
         "apply_us": round(apply_ms * 1000, 1),
         "propose_us": round(
-            timed_ms(lambda: raft.propose(body, 10_000), 1000) * 1000, 1
+            mean_cpu_ms(lambda: raft.propose(body, 10_000), 1000) * 1000, 1
         ),
-        "whole_bytes": len(frames.encode(whole)),
-        "delta_bytes": len(frames.encode(last)),
+        "whole_bytes": len(frames.encode(full_delta)),
+        "delta_bytes": len(frames.encode(last_delta)),
         "snapshot_bytes": len(state.to_bytes()),
-        "snapshot_ms": round(timed_ms(state.to_bytes, 20), 2),
+        "snapshot_ms": round(mean_cpu_ms(state.to_bytes, 20), 2),
         "take_delta_ms": round(
-            timed_ms(lambda: held.with_delta(last), 200), 3
+            mean_cpu_ms(lambda: held_items.with_delta(last_delta), 200), 3
         ),
-        "put_in_force_ms": round(timed_ms(decode, 20), 2),
+        "put_in_force_ms": round(mean_cpu_ms(build_routes, 20), 2),
     }
 
 
 def link_costs() -> dict[str, float]:
-    """Return what a heartbeat costs a seed, both ways, and its size."""
+    """Return the cost to a seed of one heartbeat received and sent."""
     node = nodes.Node(
         record(1, 1),
         control=False,
@@ -187,25 +188,25 @@
         node.linked(
             f"host-{n:04}", control=False, served=True, revision=0, now_ms=0
         )
-    beat = node._heartbeat()
+    heartbeat = node._heartbeat()
     reader = frames.FrameReader()
-    data = frames.encode(beat)
+    data = frames.encode(heartbeat)
 
-    def both_ways() -> None:
+    def round_trip() -> None:
         for message in reader.feed(data):
             node.receive("host-0002", message, 1000)
-        frames.encode(beat)
+        frames.encode(heartbeat)
 
     return {
-        "heartbeat_us": round(timed_ms(both_ways, 5000) * 1000, 1),
+        "heartbeat_us": round(mean_cpu_ms(round_trip, 5000) * 1000, 1),
         "heartbeat_bytes": len(data),
         "children": 28,
     }
 
 
 def move_costs() -> list[dict[str, float]]:
-    """Return what a running move costs its leader and a proxy."""
-    found = []
+    """Return the cost of a running move to its leader and to a proxy."""
+    rows = []
     for proxies in (108, 215, 430, 860):
         reports = []
         for n in range(proxies):
@@ -223,44 +224,46 @@
             "v1", "v2", threshold=11.7, tolerance=0.005
         )
 
-        def second() -> None:
+        def merge_one_second() -> None:
             merger.by_host.clear()
             for report in reports:
                 merger.add_report(report, 0)
             comparison.add(merger.take_window())
 
-        sent = sum(len(frames.encode(report)) for report in reports)
-        found.append(
+        total_bytes = sum(len(frames.encode(report)) for report in reports)
+        rows.append(
             {
                 "proxies": proxies,
-                "leader_ms_a_second": round(timed_ms(second, 5), 1),
-                "report_bytes": round(sent / proxies, 1),
+                "leader_ms_a_second": round(
+                    mean_cpu_ms(merge_one_second, 5), 1
+                ),
+                "report_bytes": round(total_bytes / proxies, 1),
             }
         )
-    return found
+    return rows
 
 
 def fit(points: list[tuple[float, float]]) -> dict[str, float]:
-    """Return the least-squares line through some points."""
+    """Return the least-squares line through points, with its R-squared."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    sum_squares_x = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_squares_x
     offset = mean_y - slope * mean_x
-    total = sum((y - mean_y) ** 2 for _, y in points)
-    left = sum((y - offset - slope * x) ** 2 for x, y in points)
+    sum_squares_y = sum((y - mean_y) ** 2 for _, y in points)
+    residual = sum((y - offset - slope * x) ** 2 for x, y in points)
     return {
         "offset": round(offset, 4),
         "slope": round(slope, 6),
-        "r2": round(1 - left / total, 4) if total else 1.0,
+        "r2": round(1 - residual / sum_squares_y, 4) if sum_squares_y else 1.0,
     }
 
 
 def main() -> int:
-    """Run the measurement."""
+    """Run all measurements and print the report."""
     argparse.ArgumentParser(description=__doc__).parse_args()
-    fleet = [fleet_costs(hosts) for hosts in SIZES]
+    fleet = [fleet_costs(hosts) for hosts in FLEET_SIZES]
     moves = move_costs()
     report = {
         "fleet": fleet,
