--- a/demo/run.py
+++ b/demo/run.py
@@ -1,7 +1,7 @@
-"""The demo: the matbakh deployment in small, a good move and a bad one.
+"""Demo: a small matbakh deployment, a good move and a bad one.
 
-It starts plain processes on loopback, sends callers' traffic, moves one
-service to a good version and tries a bad one, and tells what happened.
+Starts processes on loopback, sends callers' requests, moves one service to a
+good version and then to a bad one, and prints the steps and outcomes.
 """
 
 import argparse
@@ -19,24 +19,24 @@
 DEMO = pathlib.Path(__file__).parent
 FOLDER = DEMO.parent / ".run" / "demo"
 DOMAINS = ["ariana", "la-marsa", "ben-arous", "manouba"]
-RATE = 120.0
-MOVE_WITHIN_S = 40
+RATE_PER_S = 120.0
+MOVE_DEADLINE_S = 40
 
 
-def tell(text: str) -> None:
-    """Print a line at once."""
+def echo(text: str) -> None:
+    """Print a line and flush the output."""
     print(text, flush=True)
 
 
 class Traffic:
-    """Callers' requests to every proxy, until it is stopped.
+    """Sends callers' requests to every proxy until it is stopped.
 
     Args:
         addresses: The proxies' addresses for callers.
     """
 
     def __init__(self, addresses: list[str]) -> None:
-        self.load = load.Load(addresses, RATE)
+        self.load = load.Load(addresses, RATE_PER_S)
         self.stopping = False
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
@@ -52,7 +52,7 @@
             asyncio.run(self.load.run(1.0, shapes))
 
     def stop(self) -> list[load.Sample]:
-        """Stop and return what callers saw."""
+        """Stop and return the samples of all requests."""
         self.stopping = True
         self.thread.join()
         return self.load.samples
@@ -102,69 +102,69 @@
 
 
 def follow_move(fleet: fleets.LocalFleet, old: str, new: str) -> str:
-    """Move tables and tell each step; return the outcome."""
+    """Move tables and print each step; return the outcome."""
     line = (
-        f"move tables from {old} to {new} in {MOVE_WITHIN_S}s "
+        f"move tables from {old} to {new} in {MOVE_DEADLINE_S}s "
         "risk 5% watch 5s"
     )
-    tell(f"  > {line}")
+    echo(f"  > {line}")
     answer = fleet.say(line, at="host-ariana-1")
-    tell(f"  {answer['outcome']}: {answer['reason']}")
-    told = 0
-    until = time.monotonic() + MOVE_WITHIN_S + 15
-    while time.monotonic() < until:
+    echo(f"  {answer['outcome']}: {answer['reason']}")
+    printed = 0
+    end_s = time.monotonic() + MOVE_DEADLINE_S + 15
+    while time.monotonic() < end_s:
         steps = fleet.try_say("explain tables", at="control1")
         lines = [row["what"] for row in steps["rows"]] if steps else []
-        for step in lines[told:]:
-            tell(f"    {step}")
-        told = max(told, len(lines))
+        for step in lines[printed:]:
+            echo(f"    {step}")
+        printed = max(printed, len(lines))
         row = fleet.say("is move of tables done", at="control1")["rows"][0]
         if row["outcome"] != "running":
-            tell(f"  {row['outcome']}: {row['reason']}")
+            echo(f"  {row['outcome']}: {row['reason']}")
             return row["outcome"]
         time.sleep(0.5)
     return "running"
 
 
-def sum_up(samples: list[load.Sample]) -> None:
-    """Tell what callers saw."""
+def print_summary(samples: list[load.Sample]) -> None:
+    """Print the number of answers and their latencies."""
     good = sum(1 for sample in samples if sample.status == 200)
     p50 = load.quantile_us(samples, 0.5) / 1000
     p99 = load.quantile_us(samples, 0.99) / 1000
-    tell(
+    echo(
         f"callers: {len(samples)} requests, {good} answered 200, "
         f"{len(samples) - good} not; p50 {p50:.1f} ms, p99 {p99:.1f} ms"
     )
 
 
-def play(fleet: fleets.LocalFleet) -> bool:
-    """Play the demo; return whether it went as it should."""
-    tell("starting 3 control processes, 8 proxies and 8 targets")
+def run_demo(fleet: fleets.LocalFleet) -> bool:
+    """Run the demo; return whether both moves ended as expected."""
+    echo("starting 3 control processes, 8 proxies and 8 targets")
     build(fleet)
     fleet.start()
     leader = fleet.wait_leader()
-    tell(f"  {leader} leads")
+    echo(f"  {leader} leads")
     document = (DEMO / "matbakh.yaml").read_text(encoding="utf-8")
     answer = fleet.say("apply matbakh.yaml", document=document)
-    tell(f"  apply matbakh.yaml: {answer['outcome']}, {answer['reason']}")
+    echo(f"  apply matbakh.yaml: {answer['outcome']}, {answer['reason']}")
     fleet.wait_ready(8)
-    tell("  in force at all 8 proxies")
-    fleets.wait_for("targets", lambda: _served(fleet))
+    echo("  in force at all 8 proxies")
+    fleets.wait_for("targets", lambda: _all_targets_serve(fleet))
     hosts = [name for name in fleet.members if name.startswith("host-")]
     traffic = Traffic([fleet.members[h].address("callers") for h in hosts])
-    tell(f"callers send {RATE:.0f} requests a second")
-    tell("a good version of tables, v2:")
+    echo(f"callers send {RATE_PER_S:.0f} requests a second")
+    echo("a good version of tables, v2:")
     add_version(fleet, "v2", {})
     good = follow_move(fleet, "v1", "v2")
-    tell("a bad version of tables, v3, that fails one request in four:")
+    echo("a bad version of tables, v3, that fails one request in four:")
     add_version(fleet, "v3", {"fail_share": 0.25})
     bad = follow_move(fleet, "v2", "v3")
-    sum_up(traffic.stop())
-    tell(f"the good move: {good}; the bad move: {bad}")
+    print_summary(traffic.stop())
+    echo(f"the good move: {good}; the bad move: {bad}")
     return good == "done" and bad == "taken back"
 
 
-def _served(fleet: fleets.LocalFleet) -> bool:
+def _all_targets_serve(fleet: fleets.LocalFleet) -> bool:
     paths = ("/slots", "/kitchen/1")
     return all(
         fleet.call(f"host-{domain}-1", path).status == 200
@@ -173,16 +173,16 @@
     )
 
 
-def keep(fleet: fleets.LocalFleet) -> None:
+def keep_running(fleet: fleets.LocalFleet) -> None:
     """Leave the fleet running until Enter is pressed."""
     proxy = fleet.members["host-ariana-1"]
-    tell("")
-    tell("the fleet runs on. Try, in another terminal:")
+    echo("")
+    echo("the fleet keeps running; in another terminal, try:")
     at = f"--at {proxy.address('admin')}"
-    tell(f"  .venv/bin/trefoilroute say in force by host {at}")
-    tell(f"  .venv/bin/trefoilroute say explain tables {at}")
-    tell(f"  curl http://{proxy.address('callers')}/slots")
-    tell("press Enter or Ctrl-C to end it")
+    echo(f"  .venv/bin/trefoilroute say in force by host {at}")
+    echo(f"  .venv/bin/trefoilroute say explain tables {at}")
+    echo(f"  curl http://{proxy.address('callers')}/slots")
+    echo("press Enter or Ctrl-C to stop it")
     try:
         sys.stdin.readline()
     except KeyboardInterrupt:
@@ -191,16 +191,16 @@
 
 def main() -> int:
     """Run the demo; return its exit status."""
-    options = argparse.ArgumentParser(description=__doc__)
-    options.add_argument("--keep", action="store_true")
-    kept = options.parse_args().keep
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--keep", action="store_true")
+    keep_open = parser.parse_args().keep
     shutil.rmtree(FOLDER, ignore_errors=True)
-    tell(f"files are in {FOLDER.relative_to(DEMO.parent)}")
+    echo(f"files are in {FOLDER.relative_to(DEMO.parent)}")
     with fleets.LocalFleet(FOLDER, domains=DOMAINS) as fleet:
-        went_well = play(fleet)
-        if kept:
-            keep(fleet)
-    return 0 if went_well else 1
+        succeeded = run_demo(fleet)
+        if keep_open:
+            keep_running(fleet)
+    return 0 if succeeded else 1
 
 
 if __name__ == "__main__":
