--- a/bench/requests.py
+++ b/bench/requests.py
@@ -69,11 +69,11 @@
 def send_load(
     address: str, rate: float, duration_s: float, path: str, seed: int
 ) -> list[load.Sample]:
-    """Send requests at a fixed rate and return their samples.
+    """Send requests at a mean rate and return their samples.
 
     Args:
         address: Where to send them.
-        rate: Requests per second.
+        rate: Mean number of requests per second.
         duration_s: Length of the load.
         path: Path of the requests.
         seed: Seed of the arrival times.
--- a/bench/roles.py
+++ b/bench/roles.py
@@ -96,10 +96,10 @@
     return state
 
 
-def command(body: typing.Any, number: str) -> messages.Command:
+def command(body: typing.Any, command_id: str) -> messages.Command:
     """Return an operator's command."""
     kind, data = frames.pack_any(body)
-    return messages.Command(number, "ann", 1000, kind, data, 1000)
+    return messages.Command(command_id, "ann", 1000, kind, data, 1000)
 
 
 def fleet_costs(hosts: int) -> dict[str, float]:
@@ -175,7 +175,7 @@
 
 
 def link_costs() -> dict[str, float]:
-    """Return the cost to a seed of one heartbeat received and sent."""
+    """Return the cost and size of a heartbeat that a seed gets and sends."""
     node = nodes.Node(
         record(1, 1),
         control=False,
