--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Discrete-event simulation of a move that drives the daemons' cores.
+"""Simulation of a move that drives the daemons' cores.
 
 A trace is one move of one service. Requests arrive at proxies, get a version
 by the share in force there, and occupy a slot of a target. Evidence passes
@@ -89,9 +89,11 @@
         bad: Whether the new version is at fault.
         fail_share: Share of the new version's requests that fail.
         slowdown: Factor on the new version's run times.
-        after_s: When the fault begins, from the first request to the version.
-        route_index: The only route that is affected; -1 for all.
-        min_running: Requests running on a target from which it is affected.
+        after_s: Time from the first request to the new version until the
+            fault begins.
+        route_index: Index of the only route that is affected; -1 for all.
+        min_running: Least number of requests running on a target for the
+            fault to occur there.
         crash_share: Share of requests that crash their target.
         hang_share: Share of requests that are never answered.
         warmup_s: Time for which new targets are slow at first.
@@ -165,7 +167,7 @@
         to_zero_ms: Time from the first harmed request to the last request to
             the new version; -1 unless the version was taken back after harm.
         decided_to_zero_ms: Time from the verdict to the last request to the
-            new version; -1 where ``to_zero_ms`` is.
+            new version; -1 if ``to_zero_ms`` is -1.
         report_bytes: Bytes of evidence reports.
         reason: The reason for the outcome.
     """
@@ -244,7 +246,7 @@
 
 
 class BaselineController:
-    """Steps at fixed times and fixed thresholds, as in a simple script."""
+    """Steps at fixed intervals and decides by fixed thresholds."""
 
     STEPS_PERMILLE = (50, 250, 500, 1000)
     STEP_MS = 15_000
@@ -325,7 +327,7 @@
         fault: The fault or disturbance.
         seed: Seed of all random draws.
         controller: Decides on the move.
-        halts_locally: Whether proxies halt a bad version by their own
+        halts_locally: Whether proxies halt a bad version on their own
             evidence.
     """
 
@@ -529,7 +531,7 @@
         domain: int,
         now_ms: float,
     ) -> tuple[float, bool, bool]:
-        """Return a request's run time, whether it fails, whether it is harmed.
+        """Return a request's run time and whether it fails and is harmed.
 
         A request is harmed if the new version's fault affects it.
         """
