--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -50,9 +50,10 @@
     Args:
         name: The mechanism's name.
         load: The load's name.
-        credit: Mean increase of callers' credit by the mechanism.
+        credit: Mean increase of callers' credit with the mechanism.
         within: Half-width of the 95% confidence interval of ``credit``.
-        far_kib: Mean increase of cross-domain traffic, in KiB per call.
+        far_kib: Mean increase of cross-domain traffic with the mechanism, in
+            KiB per call.
     """
 
     name: str
--- a/bench/convergence.py
+++ b/bench/convergence.py
@@ -32,7 +32,7 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile of values that are not empty."""
+    """Return a quantile of a list that is not empty."""
     ordered = sorted(values)
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
@@ -208,7 +208,7 @@
         return delays_ms
 
     def measure_churn(self, duration_s: float) -> dict[str, typing.Any]:
-        """Return the traffic while targets change state twice a second.
+        """Return the traffic while one of the targets changes every 0.5 s.
 
         Args:
             duration_s: Length of the measurement.
@@ -244,7 +244,7 @@
         )
 
     def measure_restart(self) -> dict[str, typing.Any]:
-        """Return how fast half of the fleet rejoins after it is killed."""
+        """Return how long half of the fleet takes to rejoin after a kill."""
         killed = self.proxies[::2]
         offsets = {name: len(self.fleet.log(name)) for name in killed}
         self.fleet.kill(*killed)
--- a/bench/once.py
+++ b/bench/once.py
@@ -21,8 +21,8 @@
 ROOT = pathlib.Path(__file__).parent.parent
 FOLDER = ROOT / ".run" / "bench-once"
 HOSTS = {"h1": "ariana", "h2": "ariana", "h3": "manouba", "h4": "manouba"}
-# Keys are dated ahead of the clock because a ledger replica confirms only keys
-# dated after its start.
+# Keys are dated ahead of the clock because a ledger replica that has started
+# recently confirms only keys issued after its start and the clock skew.
 KEY_AHEAD_MS = 20_000
 RATE_PER_S = 50.0
 ROUNDS = 4
--- a/bench/requests.py
+++ b/bench/requests.py
@@ -1,8 +1,9 @@
 """Measures the latency that proxies add, and goodput under overload.
 
 Runs real processes on loopback. Calls the same target directly, through one
-hop and through two, paired in one run. Then offers a target one, two and three
-times its capacity, with and without the proxy's limits. Prints JSON last.
+hop and through two, in turn for several rounds. Then offers a target one, two
+and three times its capacity, with and without the proxy's limits. Prints JSON
+last.
 """
 
 import argparse
--- a/bench/roles.py
+++ b/bench/roles.py
@@ -175,7 +175,7 @@
 
 
 def link_costs() -> dict[str, float]:
-    """Return the cost and size of a heartbeat that a seed gets and sends."""
+    """Return the cost and size of a heartbeat to and from a seed."""
     node = nodes.Node(
         record(1, 1),
         control=False,
--- a/bench/safeguards.py
+++ b/bench/safeguards.py
@@ -138,8 +138,8 @@
     with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_TESTS) as pool:
         results = list(pool.map(run_check, table))
     for result in results:
-        word = "noticed" if result.noticed else "NOT NOTICED"
-        print(f"{word}: {result.name} {result.problem}")
+        label = "noticed" if result.noticed else "NOT NOTICED"
+        print(f"{label}: {result.name} {result.problem}")
     noticed = sum(result.noticed for result in results)
     print(json.dumps({"safeguards": len(results), "noticed": noticed}))
     return 0 if noticed == len(results) else 1
