--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes, faults from outside, promises."""
+"""Randomized soak test: real processes, injected faults, checks."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak: real processes, faults from outside, promises checked.
+"""Runs the soak: real processes, injected faults, checked guarantees.
 
 python -m soak --seeds 50
 python -m soak --seed 17 --keep folder
@@ -15,129 +15,161 @@
 
 from trefoil_emulator import fleet as fleets
 
-from . import callers as caller_store
+from . import callers as caller_module
 from . import checks
 from . import deployment as deployments
 from . import plan as plans
-from . import relays as relay_store
-from . import trouble as troubles
+from . import relays as relay_module
+from . import trouble as injection
 from . import watch
 
-# Nine faults at most, and the whole run within half a minute.
-LASTS_S = 12.0
-# Eleven Python processes start at once, on a machine that may be busy.
-READY_S = 40.0
-# Calls go on for this long after the last fault has begun.
-QUIET_S = 1.0
+# Allows at most nine faults; the whole run ends within half a minute.
+FAULT_PERIOD_S = 12.0
+# Eleven Python processes start at once, possibly on a busy machine.
+LEADER_TIMEOUT_S = 40.0
+# How long calls continue after the period in which faults begin.
+EXTRA_LOAD_S = 1.0
 
 
 class Run:
     """One run of one seed.
 
     Args:
-        seed: Draws the faults, the calls and whom the operator asks.
-        folder: Where settings, data and logs go.
-        lasts_s: How long faults may come.
+        seed: Seeds the faults, the calls and the operator's choice of
+            control process.
+        folder: Folder for settings, data and logs.
+        duration_s: Length in seconds of the period in which faults begin.
     """
 
-    __slots__ = ("seed", "folder", "lasts_s", "faults", "problems", "calls")
+    __slots__ = (
+        "seed",
+        "folder",
+        "duration_s",
+        "faults",
+        "problems",
+        "status_counts",
+    )
 
     def __init__(
-        self, seed: int, folder: pathlib.Path, lasts_s: float
+        self, seed: int, folder: pathlib.Path, duration_s: float
     ) -> None:
         self.seed = seed
         self.folder = folder
-        self.lasts_s = lasts_s
+        self.duration_s = duration_s
         self.faults: list[plans.Fault] = []
         self.problems: list[str] = []
-        self.calls: dict[int, int] = {}
+        self.status_counts: dict[int, int] = {}
 
-    def play(self) -> None:
-        """Play it and collect what broke."""
-        relays = relay_store.Relays()
+    def execute(self) -> None:
+        """Run the deployment under faults and collect the problems.
+
+        Raises:
+            NeverCame: No leader was elected in time, or the first document
+                was not accepted.
+        """
+        relays = relay_module.Relays()
         try:
-            with deployments.Deployment(self.folder, relays) as made:
-                self._play(made)
+            with deployments.Deployment(self.folder, relays) as deployment:
+                self._execute(deployment)
         finally:
             relays.stop()
 
-    def _play(self, made: deployments.Deployment) -> None:
-        plan = plans.Plan.from_seed(self.seed, made.names, self.lasts_s)
+    def _execute(self, deployment: deployments.Deployment) -> None:
+        plan = plans.Plan.from_seed(
+            self.seed, deployment.members_by_role, self.duration_s
+        )
         self.faults = plan.faults
-        made.start()
-        made.wait_leader(READY_S)
-        operator = watch.Operator(made, self.seed)
-        if not operator.change():
+        deployment.start()
+        deployment.wait_leader(LEADER_TIMEOUT_S)
+        operator = watch.Operator(deployment, self.seed)
+        if not operator.apply_next():
             raise fleets.NeverCame("the first document was not accepted")
-        self._note(checks.serves_again(made, {operator.number}))
-        revisions = watch.Revisions(made)
-        sender = caller_store.Callers(made, self.seed)
-        trouble = troubles.Trouble(made, plan.faults)
-        began_s = time.monotonic()
-        sender.start(self.lasts_s + QUIET_S)
-        revisions.thread.start()
+        self._add_problem(
+            checks.check_all_serve(deployment, {operator.number})
+        )
+        monitor = watch.RevisionMonitor(deployment)
+        callers = caller_module.Callers(deployment, self.seed)
+        injector = injection.FaultInjector(deployment, plan.faults)
+        started_s = time.monotonic()
+        callers.start(self.duration_s + EXTRA_LOAD_S)
+        monitor.thread.start()
         operator.thread.start()
-        trouble.start()
-        trouble.join()
-        sender.join()
+        injector.start()
+        injector.join()
+        callers.join()
         operator.stop()
-        self._check_end(made, operator)
-        revisions.stop()
-        self.problems += operator.problems + revisions.problems
-        self.problems += trouble.problems + checks.nothing_ended(made)
-        self._check_calls(made, sender, began_s)
-
-    def _check_end(
-        self, made: deployments.Deployment, operator: watch.Operator
+        self._check_recovery(deployment, operator)
+        monitor.stop()
+        self.problems += operator.problems + monitor.problems
+        self.problems += injector.problems + checks.check_processes(deployment)
+        self._check_calls(deployment, callers, started_s)
+
+    def _check_recovery(
+        self, deployment: deployments.Deployment, operator: watch.Operator
     ) -> None:
         newest = {operator.acknowledged, operator.number}
-        self._note(checks.serves_again(made, newest))
-        if not operator.change(checks.RECOVER_S):
-            self._note("no document is accepted after the faults")
+        self._add_problem(checks.check_all_serve(deployment, newest))
+        if not operator.apply_next(checks.RECOVERY_TIMEOUT_S):
+            self._add_problem("no document is accepted after the faults")
             return
-        self._note(checks.serves_again(made, {operator.number}))
+        self._add_problem(
+            checks.check_all_serve(deployment, {operator.number})
+        )
 
     def _check_calls(
         self,
-        made: deployments.Deployment,
-        sender: caller_store.Callers,
-        began_s: float,
+        deployment: deployments.Deployment,
+        callers: caller_module.Callers,
+        started_s: float,
     ) -> None:
-        attempts, runs = sender.attempts, made.runs()
-        for found in attempts:
-            self.calls[found.status] = self.calls.get(found.status, 0) + 1
-        self.problems += checks.answers_are_own(attempts)
-        self.problems += checks.payments_run_once(runs)
-        self.problems += checks.not_run_is_true(attempts, runs)
-        self.problems += checks.leaving_cuts_nothing(
-            attempts, runs, made.leaves, self.faults, began_s
+        attempts, runs = callers.attempts, deployment.runs()
+        for attempt in attempts:
+            self.status_counts[attempt.status] = (
+                self.status_counts.get(attempt.status, 0) + 1
+            )
+        self.problems += checks.check_answers_match(attempts)
+        self.problems += checks.check_payments_run_once(runs)
+        self.problems += checks.check_not_run_answers(attempts, runs)
+        self.problems += checks.check_shutdowns(
+            attempts, runs, deployment.shutdowns, self.faults, started_s
         )
 
-    def _note(self, problem: str) -> None:
+    def _add_problem(self, problem: str) -> None:
         if problem:
             self.problems.append(problem)
 
     def report(self) -> dict[str, object]:
-        """Return what is printed of it."""
+        """Return the report that is printed for this seed."""
         return {
             "seed": self.seed,
             "problems": self.problems,
             "faults": [str(fault) for fault in self.faults],
-            "calls": {str(k): n for k, n in sorted(self.calls.items())},
+            "calls": {
+                str(k): n for k, n in sorted(self.status_counts.items())
+            },
         }
 
 
-def play(seed: int, lasts_s: float, keep: str) -> bool:
-    """Play a seed, print its report; return whether every promise held."""
+def run_seed(seed: int, duration_s: float, keep_folder: str) -> bool:
+    """Run one seed and print its report.
+
+    Args:
+        seed: The seed.
+        duration_s: Length in seconds of the period in which faults begin.
+        keep_folder: Folder for the files of a failed run; empty keeps none.
+
+    Returns:
+        Whether no problem was found.
+    """
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    run = Run(seed, folder, lasts_s)
+    run = Run(seed, folder, duration_s)
     try:
-        run.play()
+        run.execute()
     except fleets.NeverCame as error:
         run.problems.append(str(error))
     print(json.dumps(run.report()), flush=True)
-    if run.problems and keep:
-        shutil.copytree(folder, pathlib.Path(keep) / folder.name)
+    if run.problems and keep_folder:
+        shutil.copytree(folder, pathlib.Path(keep_folder) / folder.name)
     shutil.rmtree(folder)
     return not run.problems
 
@@ -146,20 +178,20 @@
     seed: int = -1,
     seeds: int = 1,
     first: int = 1,
-    lasts_s: float = LASTS_S,
+    lasts_s: float = FAULT_PERIOD_S,
     keep: str = "",
 ) -> None:
     """Run the soak.
 
     Args:
-        seed: The one seed to play; else ``seeds`` of them.
-        seeds: How many.
-        first: The first of them.
-        lasts_s: How long faults come in each.
-        keep: Folder for the logs of seeds that failed.
+        seed: The only seed to run; if negative, ``seeds`` seeds are run.
+        seeds: Number of seeds to run.
+        first: The first of these seeds.
+        lasts_s: Length in seconds of each run's period of faults.
+        keep: Folder for the files of failed runs.
     """
     chosen = [seed] if seed >= 0 else list(range(first, first + seeds))
-    failed = [s for s in chosen if not play(s, lasts_s, keep)]
+    failed = [s for s in chosen if not run_seed(s, lasts_s, keep)]
     print(json.dumps({"played": len(chosen), "failed": failed}))
     sys.exit(bool(failed))
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: reads and payments, with what became of each."""
+"""Callers of the soak: send reads and payments and record each outcome."""
 
 import asyncio
 import dataclasses
@@ -11,33 +11,33 @@
 
 from . import deployment as deployments
 
-# Some hundred calls a second: each fault meets calls under way, and the
-# processes' own work stays far below one core each.
-CALLERS = 8
-PAUSE_S = 0.05
-# Three times the routes' time limit; what takes longer got no answer.
-ANSWER_S = 6.0
-TRIES = 3
-PAYMENTS_SHARE = 0.4
-# A key counts for ten minutes from the time that it starts with.
+# About a hundred calls a second: calls are in flight at each fault, and each
+# process uses far less than one core.
+CALLER_COUNT = 8
+MEAN_PAUSE_S = 0.05
+# Three times the routes' timeout; a later answer counts as none.
+ANSWER_TIMEOUT_S = 6.0
+MAX_ATTEMPTS = 3
+PAYMENT_SHARE = 0.4
+# A key is valid for ten minutes from the timestamp at its start.
 KEY_AHEAD_MS = 20_000
 OK = 200
-# These promise that the request did not run and never will.
-NOT_RUN = (408, 421, 429, 503)
+# Statuses that guarantee that the request did not run and never will.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One request and its fate.
+    """One request and its outcome.
 
     Args:
-        name: Its own name, which targets write down when they run it.
-        payment: The payment that it is a try of; empty for reads.
+        name: Unique name, which targets record when they run the request.
+        payment: The payment that it is an attempt of; empty for reads.
         host: The proxy that it was sent to.
-        sent_s: When, on the steady clock.
-        ended_s: When its answer came or it was given up.
-        status: HTTP status; 0 for none.
-        own: Whether the answer's body is that of this request.
+        sent_s: When it was sent, in seconds of the monotonic clock.
+        ended_s: When it was answered, failed or timed out, likewise.
+        status: HTTP status; 0 without a complete answer.
+        body_matches: Whether the answer's body belongs to this request.
     """
 
     name: str
@@ -46,95 +46,107 @@
     sent_s: float
     ended_s: float = 0.0
     status: int = 0
-    own: bool = True
+    body_matches: bool = True
 
 
 class Callers:
-    """Callers that keep their connections, on a thread of their own.
+    """Callers with persistent connections, run on a separate thread.
 
     Args:
-        deployment: What they call.
-        seed: Seeds what they do.
+        deployment: The deployment to call.
+        seed: Seeds the choice of requests, proxies and pauses.
     """
 
-    __slots__ = ("pools", "rng", "attempts", "until_s", "numbers", "thread")
+    __slots__ = (
+        "connections",
+        "rng",
+        "attempts",
+        "stop_at_s",
+        "request_count",
+        "thread",
+    )
 
     def __init__(self, deployment: deployments.Deployment, seed: int) -> None:
-        self.pools = {
+        self.connections = {
             host: load.Connections(deployment.caller_address(host))
             for host in deployments.HOSTS
         }
         self.rng = random.Random(seed)
         self.attempts: list[Attempt] = []
-        self.until_s = 0.0
-        self.numbers = 0
+        self.stop_at_s = 0.0
+        self.request_count = 0
         self.thread = threading.Thread(target=self._run)
 
-    def start(self, lasts_s: float) -> None:
-        """Call for a while."""
-        self.until_s = time.monotonic() + lasts_s
+    def start(self, duration_s: float) -> None:
+        """Start the calls, which end after a number of seconds."""
+        self.stop_at_s = time.monotonic() + duration_s
         self.thread.start()
 
     def join(self) -> None:
-        """Wait until the last answer."""
+        """Wait until every call has ended."""
         self.thread.join()
 
     def _run(self) -> None:
         asyncio.run(self._call_all())
 
     async def _call_all(self) -> None:
-        await asyncio.gather(*(self._call() for _ in range(CALLERS)))
-        for pool in self.pools.values():
-            pool.close()
+        await asyncio.gather(*(self._call() for _ in range(CALLER_COUNT)))
+        for connection_pool in self.connections.values():
+            connection_pool.close()
 
     async def _call(self) -> None:
-        while time.monotonic() < self.until_s:
-            if self.rng.random() < PAYMENTS_SHARE:
+        while time.monotonic() < self.stop_at_s:
+            if self.rng.random() < PAYMENT_SHARE:
                 await self._pay()
             else:
                 await self._read()
-            await asyncio.sleep(self.rng.uniform(0, 2 * PAUSE_S))
+            await asyncio.sleep(self.rng.uniform(0, 2 * MEAN_PAUSE_S))
 
     def _next_name(self, kind: str) -> str:
-        self.numbers += 1
-        return f"{kind}{self.numbers}"
+        self.request_count += 1
+        return f"{kind}{self.request_count}"
 
     async def _read(self) -> None:
         name = self._next_name("read")
-        await self._ask(name, "", load.Shape(path=f"/slots/{name}"))
+        await self._send(name, "", load.Shape(path=f"/slots/{name}"))
 
     async def _pay(self) -> None:
         payment = self._next_name("pay")
         key = f"{int(time.time() * 1000) + KEY_AHEAD_MS}-{payment}"
-        for number in range(TRIES):
+        for number in range(MAX_ATTEMPTS):
             name = f"{payment}.{number}"
             headers = f"Idempotency-Key: {key}\r\nX-Request-Name: {name}\r\n"
             shape = load.Shape("POST", "/deposits", headers, payment.encode())
-            found = await self._ask(name, payment, shape)
-            if found.status == OK:
+            attempt = await self._send(name, payment, shape)
+            if attempt.status == OK:
                 return
             await asyncio.sleep(0.2)
 
-    async def _ask(
+    async def _send(
         self, name: str, payment: str, shape: load.Shape
     ) -> Attempt:
-        host = self.rng.choice(list(self.pools))
-        made = Attempt(name, payment, host, time.monotonic())
-        self.attempts.append(made)
+        host = self.rng.choice(list(self.connections))
+        attempt = Attempt(name, payment, host, time.monotonic())
+        self.attempts.append(attempt)
         try:
-            made.status, _, body = await self.pools[host].ask(shape, ANSWER_S)
-            if made.status == OK:
-                made.own = _is_own(body, shape)
+            attempt.status, _, body = await self.connections[host].ask(
+                shape, ANSWER_TIMEOUT_S
+            )
+            if attempt.status == OK:
+                attempt.body_matches = _echoes_request(body, shape)
         except (OSError, asyncio.TimeoutError, EOFError, ValueError):
-            # No whole answer: the request may have run.
-            made.status = 0
-        made.ended_s = time.monotonic()
-        return made
+            # No complete answer: the request may have run.
+            attempt.status = 0
+        attempt.ended_s = time.monotonic()
+        return attempt
 
 
-def _is_own(body: bytes, shape: load.Shape) -> bool:
+def _echoes_request(body: bytes, shape: load.Shape) -> bool:
     try:
-        found = json.loads(body)
+        answer = json.loads(body)
     except ValueError:
         return False
-    return (found["path"], found["echo"]) == (shape.path, shape.body.decode())
+    return (answer["path"], answer["echo"]) == (
+        shape.path,
+        shape.body.decode(),
+    )
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,33 +1,36 @@
-"""The promises, checked from what callers and targets saw."""
+"""Checks of the guarantees against what callers and targets observed.
+
+The checks return a description of each violation.
+"""
 
 import collections
 
 from trefoil_emulator import fleet as fleets
 
-from . import callers as caller_store
+from . import callers as caller_module
 from . import deployment as deployments
 from . import plan as plans
 
-# A silent link (3.5 s), a start (1 s), an election (1.2 s) and a lease (3 s)
-# one after the other, twice, on a busy machine.
-RECOVER_S = 25.0
-# A fault's effects last longer than the fault: silent links are found after
-# 3.5 s, a control host's successor within a second.
-AFTERMATH_S = 5.0
-TRACE = "Traceback (most recent call last)"
+# An unresponsive connection (3.5 s), a start (1 s), an election (1.2 s) and a
+# lease (3 s) in sequence, twice, on a busy machine.
+RECOVERY_TIMEOUT_S = 25.0
+# Effects outlast a fault: unresponsive connections are detected after 3.5 s,
+# and a new leader is elected within a second.
+FAULT_EFFECT_S = 5.0
+TRACEBACK_HEADER = "Traceback (most recent call last)"
 
 
-def answers_are_own(attempts: list[caller_store.Attempt]) -> list[str]:
-    """Every caller gets the whole answer to its own request."""
+def check_answers_match(attempts: list[caller_module.Attempt]) -> list[str]:
+    """Check that no caller got the answer to another request."""
     return [
-        f"{found.name} at {found.host} got another request's answer"
-        for found in attempts
-        if not found.own
+        f"{attempt.name} at {attempt.host} got another request's answer"
+        for attempt in attempts
+        if not attempt.body_matches
     ]
 
 
-def payments_run_once(runs: list[str]) -> list[str]:
-    """A payment runs at most once, however often it is sent."""
+def check_payments_run_once(runs: list[str]) -> list[str]:
+    """Check that no payment ran twice, however often it was sent."""
     payments = collections.Counter(
         name.partition(".")[0] for name in runs if name.startswith("pay")
     )
@@ -38,87 +41,105 @@
     ]
 
 
-def not_run_is_true(
-    attempts: list[caller_store.Attempt], runs: list[str]
+def check_not_run_answers(
+    attempts: list[caller_module.Attempt], runs: list[str]
 ) -> list[str]:
-    """What was said not to have run has not run."""
+    """Check that no request ran whose answer says that it did not run."""
     ran = set(runs)
     return [
-        f"{found.name} at {found.host} was answered {found.status} and ran"
-        for found in attempts
-        if found.status in caller_store.NOT_RUN and found.name in ran
+        f"{attempt.name} at {attempt.host} "
+        f"was answered {attempt.status} and ran"
+        for attempt in attempts
+        if attempt.status in caller_module.NOT_RUN_STATUSES
+        and attempt.name in ran
     ]
 
 
-def leaving_cuts_nothing(
-    attempts: list[caller_store.Attempt],
+def check_shutdowns(
+    attempts: list[caller_module.Attempt],
     runs: list[str],
-    leaves: list[deployments.Leave],
+    shutdowns: list[deployments.Shutdown],
     faults: list[plans.Fault],
-    began_s: float,
+    started_s: float,
 ) -> list[str]:
-    """A proxy that leaves answers what it has passed on.
+    """Check that proxies shutting down answer the requests they forwarded.
+
+    Shutdowns that overlap another fault or its effects are not checked.
 
-    Only where nothing else was in trouble at the time.
+    Args:
+        attempts: All requests of the callers.
+        runs: Names of the requests that ran.
+        shutdowns: The shutdowns to check.
+        faults: The faults of the run.
+        started_s: When the load started, in seconds of the monotonic clock.
     """
     ran = set(runs)
-    found = []
-    for leave in leaves:
-        if _is_troubled(leave, faults, began_s):
+    problems = []
+    for shutdown in shutdowns:
+        if _overlaps_fault(shutdown, faults, started_s):
             continue
         for attempt in attempts:
             cut = attempt.status == 0 and attempt.name in ran
-            during = leave.began_s <= attempt.sent_s <= leave.ended_s
-            if cut and during and attempt.host == leave.host:
-                found.append(f"{attempt.name}: cut as {leave.host} left")
-    return found
+            during = shutdown.started_s <= attempt.sent_s <= shutdown.ended_s
+            if cut and during and attempt.host == shutdown.host:
+                problems.append(f"{attempt.name}: cut as {shutdown.host} left")
+    return problems
 
 
-def _is_troubled(
-    leave: deployments.Leave, faults: list[plans.Fault], began_s: float
+def _overlaps_fault(
+    shutdown: deployments.Shutdown, faults: list[plans.Fault], started_s: float
 ) -> bool:
     for fault in faults:
         if fault.kind in (plans.Kind.TERMINATE, plans.Kind.ROLL):
-            # Planned as well: it cuts nothing either.
+            # A planned shutdown, which must not fail requests either.
             continue
-        from_s = began_s + fault.at_s
-        to_s = from_s + fault.for_s + AFTERMATH_S
-        if from_s <= leave.ended_s and leave.began_s <= to_s:
+        from_s = started_s + fault.at_s
+        to_s = from_s + fault.for_s + FAULT_EFFECT_S
+        if from_s <= shutdown.ended_s and shutdown.started_s <= to_s:
             return True
     return False
 
 
-def serves_again(deployment: deployments.Deployment, numbers: set[int]) -> str:
-    """Every proxy acts on the newest document once faults are over.
+def check_all_serve(
+    deployment: deployments.Deployment, numbers: set[int]
+) -> str:
+    """Check that every proxy serves the newest document after the faults.
+
+    Waits up to ``RECOVERY_TIMEOUT_S`` for it.
 
     Args:
         deployment: The processes.
-        numbers: Documents that may be the newest.
+        numbers: Numbers of the documents that may be the newest.
+
+    Returns:
+        The problem; empty if there is none.
     """
 
     def all_serve() -> bool:
         return all(
             any(
                 deployment.call(host, f"/marker-{n}", timeout_s=3).status
-                == caller_store.OK
+                == caller_module.OK
                 for n in numbers
             )
             for host in deployments.HOSTS
         )
 
     try:
-        fleets.wait_for("all proxies to serve", all_serve, RECOVER_S, 0.3)
+        fleets.wait_for(
+            "all proxies to serve", all_serve, RECOVERY_TIMEOUT_S, 0.3
+        )
     except fleets.NeverCame as error:
         return f"{error}; newest document {max(numbers)}"
     return ""
 
 
-def nothing_ended(deployment: deployments.Deployment) -> list[str]:
-    """No process ends by itself, none has an error that nobody caught."""
-    found = []
+def check_processes(deployment: deployments.Deployment) -> list[str]:
+    """Check that no process exited unexpectedly or logged a traceback."""
+    problems = []
     for name in deployment.members:
         if not deployment.is_up(name):
-            found.append(f"{name} has ended by itself")
-        if TRACE in deployment.log(name):
-            found.append(f"{name} has a traceback in its log")
-    return found
+            problems.append(f"{name} has ended by itself")
+        if TRACEBACK_HEADER in deployment.log(name):
+            problems.append(f"{name} has a traceback in its log")
+    return problems
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment with a relay before each port, and what harms it."""
+"""A small deployment behind TCP relays, and faults of its processes."""
 
 import dataclasses
 import pathlib
@@ -9,24 +9,31 @@
 from trefoil_emulator import fleet as fleets
 
 from . import plan as plans
-from . import relays as relay_store
+from . import relays as relay_module
 
 DOMAINS = ["ariana", "manouba"]
 HOSTS = {"h1": "ariana", "h2": "ariana", "h3": "manouba", "h4": "manouba"}
-CONTROLS = 3
-# A torn write leaves the beginning of a record, which no sync covered.
-TORN = b"\x00\x00\x01\x40torn"
-# A process that was told to leave has 8 s for what runs on it.
+CONTROL_COUNT = 3
+# A torn write: the beginning of a record that was never synced.
+TORN_RECORD = b"\x00\x00\x01\x40torn"
+# Time for the requests in flight when a process is asked to shut down.
 GRACE_S = 8.0
-LEAVE_S = GRACE_S + 4.0
+SHUTDOWN_TIMEOUT_S = GRACE_S + 4.0
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Leave:
-    """A proxy that was told to leave, and when it was gone."""
+class Shutdown:
+    """A planned shutdown of a proxy.
+
+    Args:
+        host: The proxy.
+        started_s: When it was asked to shut down, in seconds of the
+            monotonic clock.
+        ended_s: When its process had exited, likewise.
+    """
 
     host: str
-    began_s: float
+    started_s: float
     ended_s: float
 
 
@@ -34,38 +41,41 @@
     """Three control hosts, four proxies and their targets.
 
     Args:
-        folder: Where settings, data folders and logs go.
-        relays: Makes the relays.
+        folder: Folder for settings, data folders and logs.
+        relays: Creates the relays.
     """
 
     def __init__(
-        self, folder: pathlib.Path, relays: relay_store.Relays
+        self, folder: pathlib.Path, relays: relay_module.Relays
     ) -> None:
         super().__init__(
             folder,
             domains=DOMAINS,
-            controls=CONTROLS,
+            controls=CONTROL_COUNT,
             control_extra={"snapshot_entries": 30},
             proxy_extra={"grace": f"{GRACE_S:g}s"},
         )
         self.relays = relays
-        self.before: dict[str, dict[str, relay_store.Relay]] = {}
-        self.expected_gone: set[str] = set()
-        self.leaves: list[Leave] = []
+        self.relays_by_member: dict[str, dict[str, relay_module.Relay]] = {}
+        self.expected_down: set[str] = set()
+        self.shutdowns: list[Shutdown] = []
         for name, ports in self.control_ports.items():
             ip = self.control_ips[name]
-            self.before[name] = {"peers": relays.before(ip, ports["peers"])}
+            self.relays_by_member[name] = {
+                "peers": relays.create_relay(ip, ports["peers"])
+            }
         self.build()
 
     @property
     def controls(self) -> dict[str, str]:
-        """Return where others reach the control processes."""
+        """Return the relayed peer address of each control process."""
         return {
-            name: self._front(name, "peers") for name in self.control_names
+            name: self._relay_address(name, "peers")
+            for name in self.control_names
         }
 
-    def _front(self, name: str, port: str) -> str:
-        relay = self.before[name][port]
+    def _relay_address(self, name: str, port: str) -> str:
+        relay = self.relays_by_member[name][port]
         return f"{relay.ip}:{relay.port}"
 
     def build(self) -> None:
@@ -76,22 +86,24 @@
             self._add_relayed_target(host)
 
     def _configure_proxy(self, member: fleets.Member) -> None:
-        if member.name not in self.before:
-            self._relay_proxies()
+        if member.name not in self.relays_by_member:
+            self._add_proxy_relays()
         super()._configure_proxy(member)
 
-    def _relay_proxies(self) -> None:
+    def _add_proxy_relays(self) -> None:
         for host in HOSTS:
             member = self.members[host]
-            self.before[host] = {
-                port: self.relays.before(member.ip, member.ports[port])
+            self.relays_by_member[host] = {
+                port: self.relays.create_relay(member.ip, member.ports[port])
                 for port in ("peers", "callers")
             }
         for seeds in self.seeds.values():
-            seeds.update({host: self._front(host, "peers") for host in seeds})
+            seeds.update(
+                {host: self._relay_address(host, "peers") for host in seeds}
+            )
 
     def _write(self, name: str, settings: dict[str, typing.Any]) -> str:
-        settings["advertise"] = self._front(name, "peers")
+        settings["advertise"] = self._relay_address(name, "peers")
         ip = settings["admin"].rpartition(":")[0]
         port = fleets.free_ports(1, ip)[0]
         settings["metrics"] = f"{ip}:{port}"
@@ -112,76 +124,76 @@
             behave={"delay_ms": 20},
         )
         member = self.members[name]
-        relay = self.relays.before(member.ip, member.ports["http"])
-        self.before[name] = {"http": relay}
+        relay = self.relays.create_relay(member.ip, member.ports["http"])
+        self.relays_by_member[name] = {"http": relay}
         member.command += [
             f"--announced_port={relay.port}",
             f"--runs_file={self.folder / 'runs.txt'}",
         ]
 
     @property
-    def names(self) -> plans.Members:
+    def members_by_role(self) -> plans.Members:
         """Return the processes by role."""
         targets = [f"t-{host}" for host in HOSTS]
         return plans.Members(self.control_names, list(HOSTS), targets)
 
     def caller_address(self, host: str) -> str:
-        """Return where callers reach a proxy."""
-        return self._front(host, "callers")
+        """Return the address of the relay between callers and a proxy."""
+        return self._relay_address(host, "callers")
 
     def runs(self) -> list[str]:
-        """Return the names of the requests that ran, one for each run."""
+        """Return the name of each request that ran, repeated for each run."""
         path = self.folder / "runs.txt"
         return path.read_text("utf-8").split() if path.exists() else []
 
     def is_up(self, name: str) -> bool:
-        """Tell whether a process runs."""
+        """Return whether a process is running."""
         process = self.members[name].process
         return process is not None and process.poll() is None
 
     # Faults
 
     def kill_if_up(self, name: str) -> bool:
-        """Kill a process; False if another fault has already."""
-        if not self.is_up(name) or name in self.expected_gone:
+        """Kill a process; return False if it is down already."""
+        if not self.is_up(name) or name in self.expected_down:
             return False
-        self.expected_gone.add(name)
+        self.expected_down.add(name)
         self.kill(name)
         return True
 
-    def start_again(self, name: str) -> None:
-        """Start a process that a fault ended."""
+    def restart(self, name: str) -> None:
+        """Start a process that a fault has ended."""
         if not self.is_up(name):
             self.start(name)
-        self.expected_gone.discard(name)
+        self.expected_down.discard(name)
 
     def pause(self, name: str, for_s: float) -> None:
-        """Stop a process for a while without ending it."""
+        """Suspend a process with SIGSTOP for a number of seconds."""
         process = self.members[name].process
         process.send_signal(signal.SIGSTOP)
         time.sleep(for_s)
         if process.poll() is None:
             process.send_signal(signal.SIGCONT)
 
-    def leave(self, name: str) -> bool:
-        """Have a process leave and start it again; False if it is not up.
+    def restart_gracefully(self, name: str) -> bool:
+        """Shut a process down and start it; return False if it is down.
 
         Raises:
-            TimeoutExpired: It did not end within its grace time.
+            TimeoutExpired: It did not exit within its grace period.
         """
-        if not self.is_up(name) or name in self.expected_gone:
+        if not self.is_up(name) or name in self.expected_down:
             return False
-        self.expected_gone.add(name)
-        began_s = time.monotonic()
+        self.expected_down.add(name)
+        started_s = time.monotonic()
         self.terminate(name)
         try:
-            self.members[name].process.wait(LEAVE_S)
-            self.leaves.append(Leave(name, began_s, time.monotonic()))
+            self.members[name].process.wait(SHUTDOWN_TIMEOUT_S)
+            self.shutdowns.append(Shutdown(name, started_s, time.monotonic()))
         finally:
-            self.start_again(name)
+            self.restart(name)
         return True
 
-    def tear_log(self, name: str) -> None:
-        """Leave the beginning of a record at the log's end."""
+    def append_torn_record(self, name: str) -> None:
+        """Append an incomplete record to a control process's log."""
         with open(self.folder / f"{name}.data" / "log", "ab") as log:
-            log.write(TORN)
+            log.write(TORN_RECORD)
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -4,13 +4,23 @@
 import enum
 import random
 
-FIRST_S = 0.5
-# Longer than a link counts as silent and a move of seconds lasts a step.
-LONGEST_S = 5.0
+FIRST_FAULT_S = 0.5
+# Longer than the detection of an unresponsive connection and than one step
+# of a move that takes seconds.
+MAX_FAULT_S = 5.0
 
 
 class Kind(enum.Enum):
-    """What happens to a process or the connections to it."""
+    """Kinds of faults of a process or of the connections to it.
+
+    KILL ends one process and KILL_CONTROLS all control processes, until they
+    are restarted. WIPE and TEAR kill a control process and delete its data
+    folder or append an incomplete record to its log. PAUSE suspends a
+    process. TERMINATE restarts one proxy gracefully, ROLL all in turn. The
+    others act on the connections to a process: HOLD_IN and HOLD_OUT hold the
+    bytes of one direction, CUT of both, and SILENCE drops the bytes of the
+    connections that are open.
+    """
 
     KILL = "kill"
     PAUSE = "pause"
@@ -27,7 +37,7 @@
     CUT = "cut"
 
 
-ON_LINKS = (
+CONNECTION_KINDS = (
     Kind.DELAY,
     Kind.RESET,
     Kind.SILENCE,
@@ -42,10 +52,10 @@
     """One fault.
 
     Args:
-        at_s: When it begins, from the start of the load.
-        kind: What happens.
-        member: The process.
-        for_s: How long it lasts.
+        at_s: When it begins, in seconds from the start of the load.
+        kind: The kind of fault.
+        member: Name of the process, or a description of several.
+        for_s: Duration in seconds.
     """
 
     at_s: float
@@ -62,7 +72,13 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Members:
-    """Names of the processes by role."""
+    """Names of the processes by role.
+
+    Args:
+        controls: Control processes.
+        proxies: Proxies.
+        targets: Targets.
+    """
 
     controls: list[str]
     proxies: list[str]
@@ -70,32 +86,34 @@
 
 
 class Plan:
-    """Draws faults in series and overlapping.
+    """Draws consecutive and overlapping faults.
 
     Args:
         seed: Seeds every draw.
         members: The processes.
-        lasts_s: How long faults may last in all.
+        duration_s: Length in seconds of the period in which faults begin.
     """
 
-    __slots__ = ("rng", "members", "lasts_s", "faults")
+    __slots__ = ("rng", "members", "duration_s", "faults")
 
-    def __init__(self, seed: int, members: Members, lasts_s: float) -> None:
+    def __init__(self, seed: int, members: Members, duration_s: float) -> None:
         self.rng = random.Random(seed)
         self.members = members
-        self.lasts_s = lasts_s
+        self.duration_s = duration_s
         self.faults: list[Fault] = []
 
     @classmethod
-    def from_seed(cls, seed: int, members: Members, lasts_s: float) -> "Plan":
-        """Return the plan of a seed."""
-        plan = cls(seed, members, lasts_s)
-        count = plan.rng.randint(3, max(int(lasts_s * 0.8), 4))
-        at_s = FIRST_S
+    def from_seed(
+        cls, seed: int, members: Members, duration_s: float
+    ) -> "Plan":
+        """Return the plan for a seed; equal arguments give equal plans."""
+        plan = cls(seed, members, duration_s)
+        count = plan.rng.randint(3, max(int(duration_s * 0.8), 4))
+        at_s = FIRST_FAULT_S
         for _ in range(count):
-            # Half of them follow at once, so that troubles overlap.
-            at_s += plan.rng.choice((0.05, 2 * lasts_s / count))
-            if at_s > lasts_s:
+            # Half of the faults follow at once, so that they overlap.
+            at_s += plan.rng.choice((0.05, 2 * duration_s / count))
+            if at_s > duration_s:
                 break
             plan.faults.append(plan._draw(at_s))
         return plan
@@ -105,20 +123,24 @@
         kind = rng.choice(list(Kind))
         if kind in (Kind.WIPE, Kind.TEAR):
             if any(fault.kind == Kind.WIPE for fault in self.faults):
-                # Three control hosts bear the loss of one disk.
+                # Three control hosts tolerate the loss of only one disk.
                 kind = Kind.KILL
-        for_s = min(rng.uniform(0.1, LONGEST_S), self.lasts_s - at_s + 0.5)
-        return Fault(at_s, kind, self._member(kind), for_s)
+        for_s = min(
+            rng.uniform(0.1, MAX_FAULT_S), self.duration_s - at_s + 0.5
+        )
+        return Fault(at_s, kind, self._choose_member(kind), for_s)
 
-    def _member(self, kind: Kind) -> str:
-        found = self.members
+    def _choose_member(self, kind: Kind) -> str:
+        members = self.members
         match kind:
             case Kind.WIPE | Kind.TEAR:
-                return self.rng.choice(found.controls)
+                return self.rng.choice(members.controls)
             case Kind.TERMINATE:
-                return self.rng.choice(found.proxies)
+                return self.rng.choice(members.proxies)
             case Kind.ROLL:
                 return "every proxy"
             case Kind.KILL_CONTROLS:
                 return "every control host"
-        return self.rng.choice(found.controls + found.proxies + found.targets)
+        return self.rng.choice(
+            members.controls + members.proxies + members.targets
+        )
--- a/soak/relays.py
+++ b/soak/relays.py
@@ -1,4 +1,4 @@
-"""TCP relays on loopback that delay, hold, silence and reset connections."""
+"""TCP relays on loopback that delay, hold, drop or reset connections."""
 
 import asyncio
 import collections.abc
@@ -8,137 +8,147 @@
 import threading
 import typing
 
-CHUNK = 65_536
-# Linger for no time: close sends a reset.
-RESET = struct.pack("ii", 1, 0)
+READ_BYTES = 65_536
+# SO_LINGER with a timeout of zero: close sends a TCP reset.
+RESET_LINGER = struct.pack("ii", 1, 0)
 
 
-class Way(enum.Enum):
-    """A direction of bytes, seen from the process behind the relay."""
+class Direction(enum.Enum):
+    """Direction of bytes, relative to the process behind the relay."""
 
     IN = "in"
     OUT = "out"
 
 
-class Relayed:
+class RelayedConnection:
     """One relayed connection.
 
     Args:
-        front: Writer towards the process that connected.
-        back: Writer towards the process behind the relay.
+        downstream: Writer to the process that connected.
+        upstream: Writer to the process behind the relay.
     """
 
-    __slots__ = ("front", "back", "silent")
+    __slots__ = ("downstream", "upstream", "silent")
 
     def __init__(
-        self, front: asyncio.StreamWriter, back: asyncio.StreamWriter
+        self, downstream: asyncio.StreamWriter, upstream: asyncio.StreamWriter
     ) -> None:
-        self.front = front
-        self.back = back
+        self.downstream = downstream
+        self.upstream = upstream
         self.silent = False
 
     def reset(self) -> None:
-        """Break both ends off."""
-        for writer in (self.front, self.back):
+        """Reset the connections to both ends."""
+        for writer in (self.downstream, self.upstream):
             sock = writer.get_extra_info("socket")
             if sock is not None and sock.fileno() >= 0:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER
+                )
             writer.transport.abort()
 
 
 class Relay:
-    """Stands before one port of one process.
+    """Relays the connections to one port of one process.
 
     Args:
-        ip: Address to listen at.
-        to_port: Port of the process behind, at the same address.
+        ip: Address to listen on.
+        upstream_port: Port of the process, at the same address.
     """
 
-    __slots__ = ("ip", "to_port", "port", "delay_s", "held", "open", "server")
-
-    def __init__(self, ip: str, to_port: int) -> None:
+    __slots__ = (
+        "ip",
+        "upstream_port",
+        "port",
+        "delay_s",
+        "held_directions",
+        "open_connections",
+        "server",
+    )
+
+    def __init__(self, ip: str, upstream_port: int) -> None:
         self.ip = ip
-        self.to_port = to_port
+        self.upstream_port = upstream_port
         self.port = 0
         self.delay_s = 0.0
-        self.held: set[Way] = set()
-        self.open: set[Relayed] = set()
+        self.held_directions: set[Direction] = set()
+        self.open_connections: set[RelayedConnection] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Open a port that the kernel chooses."""
+        """Listen on a port that the kernel chooses."""
         self.server = await asyncio.start_server(self._relay, self.ip, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def reset(self) -> None:
-        """Reset every connection."""
-        for relayed in list(self.open):
-            relayed.reset()
+        """Reset all open connections."""
+        for connection in list(self.open_connections):
+            connection.reset()
 
     def silence(self) -> None:
-        """Lose track of every open connection; new ones work."""
-        for relayed in self.open:
-            relayed.silent = True
+        """Drop all further bytes of the open connections; new ones work."""
+        for connection in self.open_connections:
+            connection.silent = True
 
     async def _relay(
-        self, reader: asyncio.StreamReader, front: asyncio.StreamWriter
+        self, reader: asyncio.StreamReader, downstream: asyncio.StreamWriter
     ) -> None:
         try:
-            await self._carry(reader, front)
+            await self._forward(reader, downstream)
         except asyncio.CancelledError:
-            # The run is over; nobody reads what the connection carries.
-            front.transport.abort()
+            # The run is over; the remaining bytes have no reader.
+            downstream.transport.abort()
 
-    async def _carry(
-        self, reader: asyncio.StreamReader, front: asyncio.StreamWriter
+    async def _forward(
+        self, reader: asyncio.StreamReader, downstream: asyncio.StreamWriter
     ) -> None:
-        await self._passable(Way.IN)
+        await self._wait_until_released(Direction.IN)
         try:
-            back_reader, back = await asyncio.open_connection(
-                self.ip, self.to_port
+            upstream_reader, upstream = await asyncio.open_connection(
+                self.ip, self.upstream_port
             )
         except OSError:
-            # As a port without a listener answers.
-            Relayed(front, front).reset()
+            # Refuse, as a port without a listener does.
+            RelayedConnection(downstream, downstream).reset()
             return
-        relayed = Relayed(front, back)
-        self.open.add(relayed)
+        connection = RelayedConnection(downstream, upstream)
+        self.open_connections.add(connection)
         await asyncio.gather(
-            self._pump(relayed, reader, back, Way.IN),
-            self._pump(relayed, back_reader, front, Way.OUT),
+            self._copy(connection, reader, upstream, Direction.IN),
+            self._copy(connection, upstream_reader, downstream, Direction.OUT),
         )
-        self.open.discard(relayed)
+        self.open_connections.discard(connection)
 
-    async def _pump(
+    async def _copy(
         self,
-        relayed: Relayed,
+        connection: RelayedConnection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: Way,
+        direction: Direction,
     ) -> None:
         try:
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(READ_BYTES):
                 await asyncio.sleep(self.delay_s)
-                await self._passable(way)
-                if not relayed.silent:
+                await self._wait_until_released(direction)
+                if not connection.silent:
                     writer.write(data)
                     await writer.drain()
         except OSError:
-            # One end was reset, so is the other.
-            if not relayed.silent:
-                relayed.reset()
+            # One end was reset: reset the other as well.
+            if not connection.silent:
+                connection.reset()
             return
-        await self._passable(way)
-        if not relayed.silent:
+        await self._wait_until_released(direction)
+        if not connection.silent:
             writer.close()
 
-    async def _passable(self, way: Way) -> None:
-        while way in self.held:
+    async def _wait_until_released(self, direction: Direction) -> None:
+        while direction in self.held_directions:
             await asyncio.sleep(0.02)
 
 
 class Relays:
-    """All relays of a run, on one loop in a thread of its own."""
+    """Runs all relays of a run on one event loop in a separate thread."""
 
     __slots__ = ("loop", "thread")
 
@@ -148,23 +158,23 @@
         self.thread.daemon = True
         self.thread.start()
 
-    def before(self, ip: str, to_port: int) -> Relay:
-        """Return a listening relay before a port."""
-        relay = Relay(ip, to_port)
-        self.wait(relay.listen())
+    def create_relay(self, ip: str, upstream_port: int) -> Relay:
+        """Return a relay that listens for connections to a port."""
+        relay = Relay(ip, upstream_port)
+        self.run(relay.listen())
         return relay
 
-    def wait(self, work: collections.abc.Coroutine) -> typing.Any:
-        """Run a coroutine on the relays' loop and return its result."""
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result()
+    def run(self, coroutine: collections.abc.Coroutine) -> typing.Any:
+        """Run a coroutine on the event loop and return its result."""
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result()
 
-    def call(self, change: typing.Callable[[], None]) -> None:
-        """Change a relay on its own loop."""
-        self.loop.call_soon_threadsafe(change)
+    def call_soon(self, callback: typing.Callable[[], None]) -> None:
+        """Schedule a callback on the event loop, without waiting for it."""
+        self.loop.call_soon_threadsafe(callback)
 
     def stop(self) -> None:
-        """End every connection, then the loop."""
-        self.wait(_cancel_all())
+        """Abort all connections and stop the event loop."""
+        self.run(_cancel_all())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join()
 
--- a/soak/trouble.py
+++ b/soak/trouble.py
@@ -1,4 +1,4 @@
-"""Carries the faults of a plan out, each on a thread of its own."""
+"""Injects the faults of a plan, each on a separate thread."""
 
 import subprocess
 import threading
@@ -7,23 +7,23 @@
 
 from . import deployment as deployments
 from . import plan as plans
-from . import relays as relay_store
+from . import relays as relay_module
 
-# A region's distance both ways, for every piece that is relayed.
+# Latency to a remote region, added to each read in either direction.
 DELAY_S = 0.15
-HELD = {
-    plans.Kind.HOLD_IN: {relay_store.Way.IN},
-    plans.Kind.HOLD_OUT: {relay_store.Way.OUT},
-    plans.Kind.CUT: set(relay_store.Way),
+HELD_DIRECTIONS = {
+    plans.Kind.HOLD_IN: {relay_module.Direction.IN},
+    plans.Kind.HOLD_OUT: {relay_module.Direction.OUT},
+    plans.Kind.CUT: set(relay_module.Direction),
 }
 
 
-class Trouble:
-    """What harms a deployment during a run.
+class FaultInjector:
+    """Injects faults into a deployment during a run.
 
     Args:
         deployment: The processes.
-        faults: What to do to them.
+        faults: The faults to inject.
     """
 
     __slots__ = ("deployment", "faults", "threads", "problems")
@@ -39,47 +39,53 @@
         self.problems: list[str] = []
 
     def start(self) -> None:
-        """Let each fault come at its time."""
-        began_s = time.monotonic()
+        """Start a thread for each fault, which waits until it is due."""
+        started_s = time.monotonic()
         for fault in self.faults:
-            thread = threading.Thread(target=self._do, args=(fault, began_s))
+            thread = threading.Thread(
+                target=self._inject_when_due, args=(fault, started_s)
+            )
             thread.start()
             self.threads.append(thread)
 
     def join(self) -> None:
-        """Wait until all are over."""
+        """Wait until all faults have ended."""
         for thread in self.threads:
             thread.join()
 
-    def _do(self, fault: plans.Fault, began_s: float) -> None:
-        time.sleep(max(began_s + fault.at_s - time.monotonic(), 0))
+    def _inject_when_due(self, fault: plans.Fault, started_s: float) -> None:
+        time.sleep(max(started_s + fault.at_s - time.monotonic(), 0))
         try:
-            self._carry_out(fault)
+            self._inject(fault)
         except subprocess.TimeoutExpired:
             self.problems.append(f"{fault.member} did not leave in time")
 
-    def _carry_out(self, fault: plans.Fault) -> None:
-        made = self.deployment
+    def _inject(self, fault: plans.Fault) -> None:
+        deployment = self.deployment
         match fault.kind:
             case plans.Kind.KILL:
-                self._away([fault.member], fault.for_s)
+                self._kill_and_restart([fault.member], fault.for_s)
             case plans.Kind.KILL_CONTROLS:
-                self._away(made.control_names, fault.for_s)
+                self._kill_and_restart(deployment.control_names, fault.for_s)
             case plans.Kind.WIPE:
-                self._away([fault.member], fault.for_s, made.lose_disk)
+                self._kill_and_restart(
+                    [fault.member], fault.for_s, deployment.lose_disk
+                )
             case plans.Kind.TEAR:
-                self._away([fault.member], fault.for_s, made.tear_log)
+                self._kill_and_restart(
+                    [fault.member], fault.for_s, deployment.append_torn_record
+                )
             case plans.Kind.PAUSE:
-                made.pause(fault.member, fault.for_s)
+                deployment.pause(fault.member, fault.for_s)
             case plans.Kind.TERMINATE:
-                made.leave(fault.member)
+                deployment.restart_gracefully(fault.member)
             case plans.Kind.ROLL:
                 for host in deployments.HOSTS:
-                    made.leave(host)
+                    deployment.restart_gracefully(host)
             case _:
-                self._on_links(fault)
+                self._inject_on_connections(fault)
 
-    def _away(
+    def _kill_and_restart(
         self,
         names: list[str],
         for_s: float,
@@ -91,31 +97,35 @@
                 on_disk(name)
         time.sleep(for_s)
         for name in killed:
-            self.deployment.start_again(name)
+            self.deployment.restart(name)
 
-    def _on_links(self, fault: plans.Fault) -> None:
-        found = list(self.deployment.before[fault.member].values())
-        for relay in found:
-            self._begin(relay, fault.kind)
+    def _inject_on_connections(self, fault: plans.Fault) -> None:
+        relays = list(self.deployment.relays_by_member[fault.member].values())
+        for relay in relays:
+            self._apply(relay, fault.kind)
         if fault.kind in (plans.Kind.RESET, plans.Kind.SILENCE):
             return
         time.sleep(fault.for_s)
-        for relay in found:
-            self._end(relay, fault.kind)
+        for relay in relays:
+            self._revert(relay, fault.kind)
 
-    def _begin(self, relay: relay_store.Relay, kind: plans.Kind) -> None:
+    def _apply(self, relay: relay_module.Relay, kind: plans.Kind) -> None:
         match kind:
             case plans.Kind.RESET:
-                self.deployment.relays.call(relay.reset)
+                self.deployment.relays.call_soon(relay.reset)
             case plans.Kind.SILENCE:
-                self.deployment.relays.call(relay.silence)
+                self.deployment.relays.call_soon(relay.silence)
             case plans.Kind.DELAY:
                 relay.delay_s = DELAY_S
             case _:
-                relay.held = relay.held | HELD[kind]
+                relay.held_directions = (
+                    relay.held_directions | HELD_DIRECTIONS[kind]
+                )
 
-    def _end(self, relay: relay_store.Relay, kind: plans.Kind) -> None:
+    def _revert(self, relay: relay_module.Relay, kind: plans.Kind) -> None:
         if kind == plans.Kind.DELAY:
             relay.delay_s = 0.0
         else:
-            relay.held = relay.held - HELD[kind]
+            relay.held_directions = (
+                relay.held_directions - HELD_DIRECTIONS[kind]
+            )
--- a/soak/watch.py
+++ b/soak/watch.py
@@ -1,4 +1,4 @@
-"""What is watched while faults come: revisions, and the operator's word."""
+"""Monitors revisions and applies documents while faults are injected."""
 
 import re
 import threading
@@ -9,12 +9,12 @@
 
 from . import deployment as deployments
 
-# Often enough to see each document in force at each proxy.
-LOOK_S = 0.25
-CHANGE_S = 0.6
-# How long one control process is asked before the next; an election and a
-# half.
-SETTLE_S = 5.0
+# Shorter than CHANGE_INTERVAL_S, to see each document in force at each proxy.
+POLL_INTERVAL_S = 0.25
+CHANGE_INTERVAL_S = 0.6
+# Time to wait for an outcome from one control process before trying the next.
+# Covers one and a half elections.
+OUTCOME_TIMEOUT_S = 5.0
 REVISION = re.compile(rb"^trefoilroute_revision (\S+)", re.MULTILINE)
 DONE = "done"
 DOCUMENT = """\
@@ -30,8 +30,8 @@
 """
 
 
-class Revisions:
-    """Looks at each proxy's revision; it may only grow in one life.
+class RevisionMonitor:
+    """Checks that a proxy process's revision never decreases.
 
     Args:
         deployment: The processes.
@@ -47,39 +47,39 @@
         self.thread = threading.Thread(target=self._run)
 
     def _run(self) -> None:
-        while not self.stopped.wait(LOOK_S):
+        while not self.stopped.wait(POLL_INTERVAL_S):
             for host in deployments.HOSTS:
-                self._look(host)
+                self._poll(host)
 
-    def _look(self, host: str) -> None:
+    def _poll(self, host: str) -> None:
         member = self.deployment.members[host]
         pid = member.pid
         answer = fleets.http(
             f"http://{member.address('metrics')}/metrics", timeout_s=1
         )
-        found = REVISION.search(answer.body)
-        if found is None or member.pid != pid:
+        match = REVISION.search(answer.body)
+        if match is None or member.pid != pid:
             return
-        revision = float(found[1])
-        before = self.highest.get(pid, 0.0)
-        if revision < before:
+        revision = float(match[1])
+        previous = self.highest.get(pid, 0.0)
+        if revision < previous:
             self.problems.append(
-                f"{host} went back from revision {before:g} to {revision:g}"
+                f"{host} went back from revision {previous:g} to {revision:g}"
             )
-        self.highest[pid] = max(before, revision)
+        self.highest[pid] = max(previous, revision)
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop polling and wait for the thread to end."""
         self.stopped.set()
         self.thread.join()
 
 
 class Operator:
-    """Applies one document after the other, each until its outcome is known.
+    """Applies documents one by one, each until its outcome is known.
 
     Args:
         deployment: The processes.
-        seed: Chooses whom the operator asks.
+        seed: Determines which control process is asked first.
     """
 
     __slots__ = (
@@ -89,30 +89,37 @@
         "problems",
         "stopped",
         "thread",
-        "offset",
+        "control_offset",
     )
 
     def __init__(self, deployment: deployments.Deployment, seed: int) -> None:
         self.deployment = deployment
         self.number = 0
         self.acknowledged = 0
-        self.offset = seed
+        self.control_offset = seed
         self.problems: list[str] = []
         self.stopped = threading.Event()
         self.thread = threading.Thread(target=self._run)
 
     def _run(self) -> None:
-        while not self.stopped.wait(CHANGE_S):
-            self.change()
+        while not self.stopped.wait(CHANGE_INTERVAL_S):
+            self.apply_next()
 
-    def change(self, within_s: float = 60.0) -> bool:
-        """Apply the next document; return whether it was acknowledged."""
+    def apply_next(self, within_s: float = 60.0) -> bool:
+        """Apply the next document.
+
+        Args:
+            within_s: Seconds to wait for an outcome.
+
+        Returns:
+            Whether it was acknowledged as done.
+        """
         self.number += 1
         document = DOCUMENT.replace("NUMBER", str(self.number))
         command = f"{int(time.time() * 1000)}-{self.number}"
-        until = time.monotonic() + within_s
-        while time.monotonic() < until:
-            outcome = self._say(document, command)
+        deadline_s = time.monotonic() + within_s
+        while time.monotonic() < deadline_s:
+            outcome = self._send(document, command)
             if outcome == DONE:
                 self.acknowledged = self.number
                 return True
@@ -121,25 +128,25 @@
                 return False
         return False
 
-    def _say(self, document: str, command: str) -> str:
-        """Return the outcome; empty while it is not known."""
-        self.offset += 1
+    def _send(self, document: str, command: str) -> str:
+        """Return the outcome; empty while it is unknown."""
+        self.control_offset += 1
         names = self.deployment.control_names
-        at = names[self.offset % len(names)]
+        control = names[self.control_offset % len(names)]
         line = client.Line.numbered(
             "apply soak.yaml", command, "soak", document
         )
-        address = self.deployment.members[at].address("admin")
+        address = self.deployment.members[control].address("admin")
         try:
-            answer = client.Client(address).settle(line, SETTLE_S)
+            answer = client.Client(address).settle(line, OUTCOME_TIMEOUT_S)
         except (client.Unreachable, client.Refused):
-            # Nothing answers there now; the command keeps its number.
-            time.sleep(LOOK_S)
+            # Unreachable: the next attempt reuses the command number.
+            time.sleep(POLL_INTERVAL_S)
             return ""
         outcome = answer["outcome"]
         return "" if outcome == "pending" else outcome
 
     def stop(self) -> None:
-        """Finish the document under way and stop."""
+        """Finish the current document, then stop."""
         self.stopped.set()
         self.thread.join()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its own parts, one short run, and seeds that failed before."""
+"""Tests of the soak: its parts, a short run, seeds that failed before."""
 
 import contextlib
 import json
@@ -14,49 +14,51 @@
 from soak import checks
 from soak import deployment
 from soak import plan as plans
-from soak import relays as relay_store
+from soak import relays as relay_module
 
 ROOT = pathlib.Path(__file__).parent.parent
 MEMBERS = plans.Members(["c1", "c2", "c3"], ["h1", "h2"], ["t1"])
 SHORT_S = 5.0
 
 
-def failed_before() -> list[int]:
+def seeds_that_failed() -> list[int]:
     """Return the seeds that a run of the soak ever failed on."""
     lines = (ROOT / "soak" / "seeds.txt").read_text("utf-8").splitlines()
     return [int(line.split()[0]) for line in lines if line[:1].isdigit()]
 
 
-def play(*options: str) -> dict[str, object]:
+def run_soak(*options: str) -> dict[str, object]:
     """Run the soak and return the report of its first seed."""
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "soak", *options],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    lines = found.stdout.splitlines()
-    assert lines, found.stderr
+    lines = completed.stdout.splitlines()
+    assert lines, completed.stderr
     return json.loads(lines[0])
 
 
 @pytest.mark.processes
-def test_a_short_run_keeps_every_promise() -> None:
-    """Faults come for five seconds, drawn from a seed of their own.
+def test_a_short_run_violates_no_guarantee() -> None:
+    """Faults are injected for five seconds, under a seed of this test only.
 
-    Callers, targets and the operator see no promise broken, and all serve
-    again afterwards.
+    Callers, targets and the operator must observe no violation, and all
+    proxies must serve again afterwards.
     """
-    report = play("--seed", "1001", "--lasts_s", str(SHORT_S))
+    report = run_soak("--seed", "1001", "--lasts_s", str(SHORT_S))
     assert report["problems"] == []
 
 
 @pytest.mark.processes
-def test_seeds_that_failed_before_hold() -> None:
-    """The whole run of each seed in soak/seeds.txt, its cause beside it."""
-    found = {seed: play("--seed", str(seed)) for seed in failed_before()}
-    broken = {s: r["problems"] for s, r in found.items() if r["problems"]}
-    assert broken == {}
+def test_seeds_that_failed_before_pass() -> None:
+    """Each seed of soak/seeds.txt is run in full, to detect regressions."""
+    reports = {
+        seed: run_soak("--seed", str(seed)) for seed in seeds_that_failed()
+    }
+    failures = {s: r["problems"] for s, r in reports.items() if r["problems"]}
+    assert failures == {}
 
 
 def test_a_seed_always_draws_the_same_faults() -> None:
@@ -76,30 +78,32 @@
     return callers.Attempt(name, "pay1", "h1", sent_s, sent_s, status)
 
 
-def test_checks_find_what_they_are_for() -> None:
-    """Each promise, broken once in what callers and targets saw."""
-    crossed = attempt("read1", 200)
-    crossed.own = False
-    assert checks.answers_are_own([crossed])
-    assert checks.payments_run_once(["pay1.0", "pay1.1"])
-    assert not checks.payments_run_once(["pay1.0", "pay2.0"])
-    assert checks.not_run_is_true([attempt("pay1.0", 503)], ["pay1.0"])
-    assert not checks.not_run_is_true([attempt("pay1.0", 502)], ["pay1.0"])
+def test_checks_detect_violations() -> None:
+    """Each check must report a violation that callers or targets observed."""
+    mismatched = attempt("read1", 200)
+    mismatched.body_matches = False
+    assert checks.check_answers_match([mismatched])
+    assert checks.check_payments_run_once(["pay1.0", "pay1.1"])
+    assert not checks.check_payments_run_once(["pay1.0", "pay2.0"])
+    assert checks.check_not_run_answers([attempt("pay1.0", 503)], ["pay1.0"])
+    assert not checks.check_not_run_answers(
+        [attempt("pay1.0", 502)], ["pay1.0"]
+    )
 
 
-def test_only_a_calm_leave_is_judged() -> None:
-    """A proxy cuts a payment as it leaves; once, its target was killed."""
+def test_shutdowns_near_faults_are_not_checked() -> None:
+    """A payment cut by a shutdown is reported unless its target was killed."""
     cut = attempt("pay1.0", 0, 5.0)
-    leaves = [deployment.Leave("h1", 4.0, 6.0)]
+    shutdowns = [deployment.Shutdown("h1", 4.0, 6.0)]
     killed = [plans.Fault(3.0, plans.Kind.KILL, "t1", 1.0)]
     runs = ["pay1.0"]
-    assert checks.leaving_cuts_nothing([cut], runs, leaves, [], 0.0)
-    assert not checks.leaving_cuts_nothing([cut], runs, leaves, killed, 0.0)
-    assert not checks.leaving_cuts_nothing([cut], [], leaves, [], 0.0)
+    assert checks.check_shutdowns([cut], runs, shutdowns, [], 0.0)
+    assert not checks.check_shutdowns([cut], runs, shutdowns, killed, 0.0)
+    assert not checks.check_shutdowns([cut], [], shutdowns, [], 0.0)
 
 
-class Echo:
-    """A server that sends back what it gets."""
+class EchoServer:
+    """A server that echoes what it receives."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
@@ -123,31 +127,31 @@
                 stream.sendall(data)
 
 
-def test_a_relay_resets_and_silences_what_is_open() -> None:
-    """What is open breaks or falls silent; what is opened next works."""
-    echo = Echo()
-    relays = relay_store.Relays()
-    relay = relays.before("127.0.0.1", echo.port)
+def test_a_relay_resets_and_silences_open_connections() -> None:
+    """Open connections are reset or silenced; later ones must work."""
+    server = EchoServer()
+    relays = relay_module.Relays()
+    relay = relays.create_relay("127.0.0.1", server.port)
 
-    def opened() -> socket.socket:
+    def open_stream() -> socket.socket:
         stream = socket.create_connection(("127.0.0.1", relay.port), 10)
         stream.sendall(b"first")
         assert stream.recv(100) == b"first"
         return stream
 
-    silent = opened()
-    relays.call(relay.silence)
+    silent = open_stream()
+    relays.call_soon(relay.silence)
     silent.sendall(b"lost")
     silent.setblocking(False)
-    broken = opened()
+    broken = open_stream()
     with pytest.raises(BlockingIOError):
         silent.recv(100)
-    relays.call(relay.reset)
+    relays.call_soon(relay.reset)
     with pytest.raises(OSError):
         broken.recv(100)
         broken.sendall(b"more")
         broken.recv(100)
-    opened().close()
+    open_stream().close()
     silent.close()
     relays.stop()
-    echo.sock.close()
+    server.sock.close()
