--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Malformed input on every port of real processes."""
+"""Sends malformed input to every port of real processes."""
 
 import collections.abc
 import json
@@ -19,9 +19,9 @@
     messages.Hello("stranger", "ariana", "127.0.0.1:1", 1, False, 0, True)
 )
 EMPTY_HELLO = frames.encode(messages.Hello())
-NOISE = bytes(range(256)) * 40
+BINARY_DATA = bytes(range(256)) * 40
 CASES = [
-    ("noise to callers", "h1", "callers", NOISE),
+    ("noise to callers", "h1", "callers", BINARY_DATA),
     ("TLS to callers", "h1", "callers", b"\x16\x03\x01\x02\x00\x01\x00"),
     ("endless head", "h1", "callers", b"GET / HTTP/1.1\r\n" + b"a" * 70_000),
     (
@@ -31,7 +31,7 @@
         b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n",
     ),
     ("no host", "h1", "callers", b"GET /slots HTTP/1.1\r\n\r\n"),
-    ("noise to peers", "h1", "peers", NOISE),
+    ("noise to peers", "h1", "peers", BINARY_DATA),
     ("huge frame", "h1", "peers", b"\xff\xff\xff\xff\x00" * 10),
     ("no greeting", "h1", "peers", frames.encode(messages.Ping(1))),
     ("empty greeting", "h1", "peers", EMPTY_HELLO),
@@ -41,8 +41,8 @@
         "peers",
         HELLO + b"".join(frames.encode(kind()) for kind in frames.TYPES),
     ),
-    ("noise to targets' port", "h1", "admin", NOISE),
-    ("noise to control peers", "control1", "peers", NOISE),
+    ("noise to targets' port", "h1", "admin", BINARY_DATA),
+    ("noise to control peers", "control1", "peers", BINARY_DATA),
     (
         "empty votes",
         "control1",
@@ -55,7 +55,7 @@
         "peers",
         HELLO + frames.encode(messages.CommandRequest()),
     ),
-    ("noise to operators", "control1", "admin", NOISE),
+    ("noise to operators", "control1", "admin", BINARY_DATA),
 ]
 
 
@@ -63,44 +63,44 @@
 def fleet(tmp_path_factory) -> collections.abc.Iterator[fleets.LocalFleet]:
     """A control process, a proxy and a target."""
     folder = tmp_path_factory.mktemp("fleet")
-    made = fleets.LocalFleet(folder, domains=["ariana"], controls=1)
-    with made:
-        made.add_controls()
-        made.add_proxies({"h1": "ariana"})
-        made.add_target(
+    local_fleet = fleets.LocalFleet(folder, domains=["ariana"], controls=1)
+    with local_fleet:
+        local_fleet.add_controls()
+        local_fleet.add_proxies({"h1": "ariana"})
+        local_fleet.add_target(
             "t1",
             "h1",
             service="tables",
             version="v1",
             resources="listings,payments",
         )
-        made.start()
-        made.wait_leader()
-        made.say("apply matbakh.yaml", document=DOCUMENT)
+        local_fleet.start()
+        local_fleet.wait_leader()
+        local_fleet.say("apply matbakh.yaml", document=DOCUMENT)
         fleets.wait_for(
-            "an answer", lambda: made.call("h1", "/slots").status == 200
+            "an answer", lambda: local_fleet.call("h1", "/slots").status == 200
         )
-        yield made
+        yield local_fleet
 
 
 @pytest.mark.parametrize(
     ("case", "name", "port", "data"), CASES, ids=[case[0] for case in CASES]
 )
-def test_bad_bytes_cost_only_their_connection(
+def test_malformed_bytes_fail_only_their_connection(
     fleet, case, name, port, data
 ) -> None:
-    """A stranger sends bytes that no sender of ours would.
+    """A client sends bytes that violate the protocol of the port.
 
-    It gets an error or is closed; the process lives, and a caller on
-    another connection is served as before.
+    It gets an error or its connection is closed. The process must keep
+    running and serve a caller on another connection as before.
     """
     member = fleet.members[name]
     address = (member.ip, member.ports[port])
-    with socket.create_connection(address, timeout=5) as stranger:
+    with socket.create_connection(address, timeout=5) as connection:
         try:
-            stranger.sendall(data)
-            stranger.settimeout(1)
-            while stranger.recv(65536):
+            connection.sendall(data)
+            connection.settimeout(1)
+            while connection.recv(65536):
                 pass
         except OSError:
             pass
@@ -135,7 +135,7 @@
         ),
     ],
 )
-def test_bad_requests_are_told_what_is_wrong(
+def test_malformed_requests_are_answered_with_a_reason(
     fleet, case, path, method, body, status
 ) -> None:
     address = fleet.members["h1"].address("admin")
@@ -154,7 +154,7 @@
     assert json.loads(answer.body)["outcome"] == "not run"
 
 
-def test_what_was_malformed_is_in_the_log(fleet) -> None:
+def test_malformed_input_is_logged(fleet) -> None:
     assert "event=http.malformed" in fleet.log("h1")
     assert "event=peer.malformed" in fleet.log("h1")
     assert "runtime.exception" not in fleet.log("h1")
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -1,4 +1,4 @@
-"""Control processes that are killed, frozen and lose their disks."""
+"""Control processes are killed, suspended or lose their disks."""
 
 import collections.abc
 import pathlib
@@ -18,172 +18,180 @@
 @pytest.fixture
 def fleet(tmp_path) -> collections.abc.Iterator[fleets.LocalFleet]:
     """Three control processes and four proxies in two failure domains."""
-    made = fleets.LocalFleet(
+    local_fleet = fleets.LocalFleet(
         tmp_path,
         domains=["ariana", "manouba"],
         control_extra={"snapshot_entries": 50},
     )
-    with made:
-        made.add_controls()
-        made.add_proxies(
+    with local_fleet:
+        local_fleet.add_controls()
+        local_fleet.add_proxies(
             {"h1": "ariana", "h2": "ariana", "h3": "manouba", "h4": "manouba"}
         )
-        made.start()
-        made.wait_leader()
-        answer = made.say("apply matbakh.yaml", document=DOCUMENT)
+        local_fleet.start()
+        local_fleet.wait_leader()
+        answer = local_fleet.say("apply matbakh.yaml", document=DOCUMENT)
         assert answer["outcome"] == "done"
-        made.wait_ready(4)
-        yield made
+        local_fleet.wait_ready(4)
+        yield local_fleet
 
 
-def others(fleet: fleets.LocalFleet, *names: str) -> list[str]:
-    """Return the control processes that are not named."""
+def other_controls(fleet: fleets.LocalFleet, *names: str) -> list[str]:
+    """Return the names of all other control processes."""
     return [name for name in fleet.control_names if name not in names]
 
 
-def change(fleet: fleets.LocalFleet, number: int, at: str) -> str:
-    """Drain or undrain a host; return the outcome."""
-    word = "drain" if number % 2 else "undrain"
-    answer = fleet.say(f"{word} h{number % 3 + 5}", at=at, wait_s=15)
+def toggle_drain(fleet: fleets.LocalFleet, number: int, at: str) -> str:
+    """Drain a host for odd numbers, else undrain it; return the outcome."""
+    command = "drain" if number % 2 else "undrain"
+    answer = fleet.say(f"{command} h{number % 3 + 5}", at=at, wait_s=15)
     return answer["outcome"]
 
 
 def revisions(fleet: fleets.LocalFleet, at: str) -> dict[str, int]:
-    """Return what is in force at each host, as one process knows it."""
+    """Return the revision in force at each host, as one process reports it."""
     return {row["host"]: row["revision"] for row in fleet.in_force(at)}
 
 
 def test_the_leader_is_killed_amid_commands(fleet) -> None:
-    """An operator sends commands while the leader dies.
+    """The leader is killed while an operator sends commands.
 
-    Some answers are lost with it. Sent again under its number, each command
-    has one outcome, and none that was told "done" is lost.
+    Some replies are lost. When it is sent again under its number, each
+    command must keep its outcome, and none answered "done" may be lost.
     """
     leader = fleet.leader()
-    at = others(fleet, leader)[0]
+    at = other_controls(fleet, leader)[0]
     killer = threading.Timer(0.3, fleet.kill, [leader])
     killer.start()
-    told = {}
+    results = {}
     for number in range(12):
         line = f"drain d{number}"
         name = f"{int(time.time() * 1000)}-{number}"
         answer = fleet.say(line, at=at, number=name, wait_s=20)
-        told[name] = (line, answer["outcome"])
+        results[name] = (line, answer["outcome"])
     killer.join()
-    assert {outcome for _, outcome in told.values()} == {"done"}
-    for name, (line, outcome) in told.items():
-        again = fleet.say(line, at=at, number=name)
-        assert again["outcome"] == outcome
+    assert {outcome for _, outcome in results.values()} == {"done"}
+    for name, (line, outcome) in results.items():
+        resent = fleet.say(line, at=at, number=name)
+        assert resent["outcome"] == outcome
     fleet.wait_ready(4)
 
 
-def test_a_leader_is_frozen_and_wakes(fleet) -> None:
-    """The leader is stopped for longer than its lease, then goes on.
+def test_a_leader_is_suspended_and_resumes(fleet) -> None:
+    """The leader is suspended for longer than its lease, then resumes.
 
-    Meanwhile another leads and changes the configuration. The first must
-    neither answer from its old state nor take any proxy back.
+    Meanwhile another leader changes the configuration. The first must not
+    answer from outdated state nor return any proxy to an older revision.
     """
-    old = fleet.leader()
-    at = others(fleet, old)[0]
-    fleet.freeze(old)
-    fleets.wait_for("another leader", lambda: fleet.leader(others(fleet, old)))
-    assert change(fleet, 1, at) == "done"
-    # What only the frozen leader had heard reaches the next one once its
-    # seeds have linked elsewhere; until then it names them "not heard from".
+    first_leader = fleet.leader()
+    at = other_controls(fleet, first_leader)[0]
+    fleet.freeze(first_leader)
+    fleets.wait_for(
+        "another leader",
+        lambda: fleet.leader(other_controls(fleet, first_leader)),
+    )
+    assert toggle_drain(fleet, 1, at) == "done"
+    # Reports that only the suspended leader had received reach the next one
+    # once its seeds have connected to another control process. Until then
+    # their revisions are unknown ("not heard from").
     fleets.wait_for(
         "all reports at the next leader",
         lambda: None not in revisions(fleet, at).values(),
     )
-    before = revisions(fleet, at)
-    assert len(before) == 4
-    fleet.thaw(old)
+    previous = revisions(fleet, at)
+    assert len(previous) == 4
+    fleet.thaw(first_leader)
     answer = fleets.wait_for(
         "an answer",
-        lambda: fleet.try_say("in force by host", at=old, wait_s=5),
+        lambda: fleet.try_say("in force by host", at=first_leader, wait_s=5),
     )
     assert answer["confirmed"]
-    woken = {row["host"]: row["revision"] for row in answer["rows"]}
-    assert all(woken[h] >= before[h] for h in before if woken.get(h))
-    assert change(fleet, 2, old) == "done"
+    resumed = {row["host"]: row["revision"] for row in answer["rows"]}
+    assert all(resumed[h] >= previous[h] for h in previous if resumed.get(h))
+    assert toggle_drain(fleet, 2, first_leader) == "done"
     fleet.wait_ready(4)
 
 
-def test_a_disk_is_lost_and_another_host_right_after(fleet) -> None:
-    """A control process comes back without its data folder.
+def test_a_disk_is_lost_and_then_another_host(fleet) -> None:
+    """A control process restarts without its data folder.
 
-    It joins under a new identity, catches up and votes. Then another is
-    killed: the repair was whole, so commands still run.
+    It must join under a new identity, catch up and become a voter, so that
+    commands still run when another control process is killed.
     """
     leader = fleet.leader()
-    lost, second = others(fleet, leader)
+    lost, other = other_controls(fleet, leader)
     fleet.kill(lost)
     fleet.lose_disk(lost)
-    assert change(fleet, 1, leader) == "done"
+    assert toggle_drain(fleet, 1, leader) == "done"
     fleet.start(lost)
 
     def repaired() -> bool:
         answer = fleet.try_say("show controls", at=leader, wait_s=2)
         rows = answer["rows"] if answer else []
-        found = [row for row in rows if row["control"] == lost]
+        matching = [row for row in rows if row["control"] == lost]
         return (
-            len(found) == 1
-            and found[0]["role"] == "voter"
-            and not found[0]["identity"].endswith("#first")
+            len(matching) == 1
+            and matching[0]["role"] == "voter"
+            and not matching[0]["identity"].endswith("#first")
         )
 
     fleets.wait_for("the repair", repaired, 30)
-    fleet.kill(second)
-    assert change(fleet, 2, leader) == "done"
+    fleet.kill(other)
+    assert toggle_drain(fleet, 2, leader) == "done"
     assert "store.new_identity" in fleet.log(lost)
 
 
 def test_all_are_killed_and_started_together(fleet) -> None:
-    """Power goes in every host at once, after a hundred changes.
+    """All processes are killed at once after a hundred changes.
 
-    The state comes back from snapshots and logs; the proxies, which forgot
-    everything, come back to the same revision.
+    The control processes must restore their state from snapshots and logs.
+    The proxies, which keep no state on disk, must reach at least the same
+    revision.
     """
     leader = fleet.leader()
     for number in range(100):
-        assert change(fleet, number, leader) == "done"
+        assert toggle_drain(fleet, number, leader) == "done"
     fleet.wait_ready(4)
-    before = revisions(fleet, leader)
+    previous = revisions(fleet, leader)
     names = list(fleet.members)
     fleet.kill(*names)
     fleet.start(*names)
     fleet.wait_leader()
     fleet.wait_ready(4)
-    after = revisions(fleet, fleet.leader())
-    assert all(after[host] >= before[host] for host in before)
+    recovered = revisions(fleet, fleet.leader())
+    assert all(recovered[host] >= previous[host] for host in previous)
 
 
 def test_a_process_restarts_after_five_hundred_changes(fleet) -> None:
-    """A control process is away while hundreds of changes go by."""
+    """A control process is down during five hundred changes."""
     leader = fleet.leader()
-    away = others(fleet, leader)[0]
-    fleet.kill(away)
-    speaker = client.Client(fleet.members[leader].address("admin"))
+    restarted = other_controls(fleet, leader)[0]
+    fleet.kill(restarted)
+    operator_client = client.Client(fleet.members[leader].address("admin"))
     for number in range(500):
-        word = "drain" if number % 2 else "undrain"
+        command = "drain" if number % 2 else "undrain"
         now_ms = int(time.time() * 1000)
         line = client.Line(
-            f"{word} h{number % 5 + 5}", f"{now_ms}-{number}", "ann", now_ms
+            f"{command} h{number % 5 + 5}", f"{now_ms}-{number}", "ann", now_ms
         )
-        assert speaker.settle(line, 10)["outcome"] == "done"
-    fleet.start(away)
+        assert operator_client.settle(line, 10)["outcome"] == "done"
+    fleet.start(restarted)
 
     def caught_up() -> bool:
-        answer = fleet.try_say("show controls", at=away, wait_s=2)
+        answer = fleet.try_say("show controls", at=restarted, wait_s=2)
         return bool(answer and answer["confirmed"])
 
     fleets.wait_for("the restarted process", caught_up)
-    fleet.kill(*others(fleet, leader, away))
-    assert change(fleet, 1, leader) == "done"
+    fleet.kill(*other_controls(fleet, leader, restarted))
+    assert toggle_drain(fleet, 1, leader) == "done"
     fleet.wait_ready(4)
 
 
 def test_operators_race_with_equal_numbers(fleet) -> None:
-    """Two operators send different commands under one number at once."""
+    """Two operators send different commands under one number at once.
+
+    Only one of the commands may run.
+    """
     outcomes = {}
 
     def send(operator: str, at: str, line: str) -> None:
@@ -204,20 +212,21 @@
     assert sorted(outcomes.values()) == ["done", "not run"]
 
 
-def test_a_proxy_that_restarts_in_a_cut_off_domain_serves_again(
+def test_a_proxy_restarts_in_an_isolated_domain_and_serves(
     fleet,
 ) -> None:
-    """All control hosts are away; a proxy restarts.
+    """A proxy restarts while all control hosts are down.
 
-    The seeds of its failure domain vouch for the revision that it had.
+    The seeds of its failure domain must confirm the floor, so that it puts
+    the revision that it had in force again.
     """
-    before = revisions(fleet, "control1")["h1"]
+    previous = revisions(fleet, "control1")["h1"]
     fleet.kill(*fleet.control_names)
     fleet.kill("h1")
     fleet.start("h1")
     fleets.wait_for(
         "the restarted proxy",
-        lambda: f"event=config.in_force process=h1 revision={before}"
+        lambda: f"event=config.in_force process=h1 revision={previous}"
         in fleet.log("h1").rpartition("proxy.started")[2],
         30,
     )
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's printed outcome."""
+"""Checks the outcome that the demo prints."""
 
 import pathlib
 import subprocess
@@ -11,19 +11,19 @@
 
 @pytest.mark.processes
 def test_the_demo_moves_the_good_version_and_takes_the_bad_one_back() -> None:
-    """A newcomer runs the demo and reads its last line.
+    """The demo moves to a good version, then to a faulty one.
 
-    A good version gets all traffic, then a version that fails one request
-    in four is tried: its failures show beside the old version's answers,
-    so its traffic goes back before it has the whole.
+    The good version must get all traffic. The faulty one fails one request
+    in four, more than the old version, and must lose its traffic before it
+    has all of it.
     """
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "demo/run.py"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=150,
     )
-    last = ran.stdout.strip().splitlines()[-1]
-    assert last == "the good move: done; the bad move: taken back"
-    assert ran.returncode == 0
+    last_line = completed.stdout.strip().splitlines()[-1]
+    assert last_line == "the good move: done; the bad move: taken back"
+    assert completed.returncode == 0
--- a/tests/test_move_processes.py
+++ b/tests/test_move_processes.py
@@ -1,4 +1,4 @@
-"""Moves with real processes, their leader killed in the middle."""
+"""Moves with real processes: the leader is killed, a move is reversed."""
 
 import asyncio
 import collections.abc
@@ -14,28 +14,29 @@
 ROOT = pathlib.Path(__file__).parent.parent
 DOCUMENT = (ROOT / "demo" / "matbakh.yaml").read_text(encoding="utf-8")
 HOSTS = {"h1": "ariana", "h2": "manouba"}
-RATE = 150.0
+REQUESTS_PER_S = 150.0
 pytestmark = pytest.mark.processes
 
 
 @pytest.fixture
 def fleet(tmp_path) -> collections.abc.Iterator[fleets.LocalFleet]:
-    """Three control processes, two proxies, v1 of tables on each."""
-    made = fleets.LocalFleet(tmp_path, domains=["ariana", "manouba"])
-    with made:
-        made.add_controls()
-        made.add_proxies(HOSTS)
+    """Three control processes and two proxies, each with a target of v1."""
+    local_fleet = fleets.LocalFleet(tmp_path, domains=["ariana", "manouba"])
+    with local_fleet:
+        local_fleet.add_controls()
+        local_fleet.add_proxies(HOSTS)
         for host in HOSTS:
-            _add(made, host, "v1", {})
-        made.start()
-        made.wait_leader()
-        made.say("apply matbakh.yaml", document=DOCUMENT)
-        made.wait_ready(2)
+            _add(local_fleet, host, "v1", {})
+        local_fleet.start()
+        local_fleet.wait_leader()
+        local_fleet.say("apply matbakh.yaml", document=DOCUMENT)
+        local_fleet.wait_ready(2)
         for host in HOSTS:
             fleets.wait_for(
-                "targets", lambda: made.call(host, "/slots").status == 200
+                "targets",
+                lambda: local_fleet.call(host, "/slots").status == 200,
             )
-        yield made
+        yield local_fleet
 
 
 def _add(
@@ -59,13 +60,13 @@
 @pytest.mark.parametrize(
     ("behave", "outcome"), [({}, "done"), ({"fail_share": 0.3}, "taken back")]
 )
-def test_a_move_goes_on_when_its_leader_is_killed(
+def test_a_move_continues_after_its_leader_is_killed(
     fleet, behave, outcome
 ) -> None:
-    """The leader dies a few seconds into a move.
+    """The leader is killed a few seconds into a move.
 
-    The next leader goes on from the agreed step: a good version has all
-    traffic in time, a bad one is taken back and callers get the old one.
+    The next leader must continue from the agreed step. A good version gets
+    all traffic in time; a faulty one is taken back.
     """
     fleet.start(*[_add(fleet, host, "v2", behave) for host in HOSTS])
     answer = fleet.say("move tables from v1 to v2 in 25s watch 4s")
@@ -73,23 +74,23 @@
     leader = fleet.leader()
     at = next(name for name in fleet.control_names if name != leader)
     addresses = [fleet.members[host].address("callers") for host in HOSTS]
-    sender = load.Load(addresses, RATE)
+    generator = load.Load(addresses, REQUESTS_PER_S)
     shapes = [load.Shape(path="/slots")]
     traffic = threading.Thread(
-        target=lambda: asyncio.run(sender.run(40, shapes)), daemon=True
+        target=lambda: asyncio.run(generator.run(40, shapes)), daemon=True
     )
     traffic.start()
     killer = threading.Timer(5, fleet.kill, [leader])
     killer.start()
 
-    def ended() -> str:
-        found = fleet.try_say("is move of tables done", at=at, wait_s=2)
-        row = found["rows"][0] if found else {}
+    def final_outcome() -> str:
+        answer = fleet.try_say("is move of tables done", at=at, wait_s=2)
+        row = answer["rows"][0] if answer else {}
         return (
             row.get("outcome", "") if row.get("outcome") != "running" else ""
         )
 
-    assert fleets.wait_for("the outcome", ended, 60, 0.3) == outcome
+    assert fleets.wait_for("the outcome", final_outcome, 60, 0.3) == outcome
     killer.join()
     steps = fleet.say("explain tables", at=at)["rows"]
     assert steps[0]["what"].endswith("started")
--- a/tests/test_request_processes.py
+++ b/tests/test_request_processes.py
@@ -1,4 +1,4 @@
-"""Proxies and targets that die, freeze and leave under traffic."""
+"""Proxies and targets are killed, suspended or restarted under load."""
 
 import asyncio
 import collections.abc
@@ -22,39 +22,43 @@
 @pytest.fixture
 def fleet(tmp_path) -> collections.abc.Iterator[fleets.LocalFleet]:
     """One control process, four proxies and a target of tables on each."""
-    made = fleets.LocalFleet(
+    local_fleet = fleets.LocalFleet(
         tmp_path, domains=["ariana", "manouba"], controls=1
     )
-    with made:
-        made.add_controls()
-        made.add_proxies(HOSTS)
+    with local_fleet:
+        local_fleet.add_controls()
+        local_fleet.add_proxies(HOSTS)
         for host in HOSTS:
-            made.add_target(
+            local_fleet.add_target(
                 f"t-{host}",
                 host,
                 service="tables",
                 version="v1",
                 resources="listings,payments",
             )
-        made.start()
-        made.wait_leader()
-        made.say("apply matbakh.yaml", document=DOCUMENT)
-        made.wait_ready(4)
+        local_fleet.start()
+        local_fleet.wait_leader()
+        local_fleet.say("apply matbakh.yaml", document=DOCUMENT)
+        local_fleet.wait_ready(4)
         for host in HOSTS:
             fleets.wait_for(
-                "targets", lambda: made.call(host, "/slots").status == 200
+                "targets",
+                lambda: local_fleet.call(host, "/slots").status == 200,
             )
-        fleets.wait_for("records", lambda: _targets(made) == 4)
-        yield made
+        fleets.wait_for(
+            "the records of all targets",
+            lambda: _target_count(local_fleet) == 4,
+        )
+        yield local_fleet
 
 
-def _targets(fleet: fleets.LocalFleet) -> int:
+def _target_count(fleet: fleets.LocalFleet) -> int:
     answer = fleet.try_say("show targets")
     return len(answer["rows"]) if answer else 0
 
 
 def runs(fleet: fleets.LocalFleet, names: list[str]) -> dict[str, int]:
-    """Return how often each named request ran, over the live targets."""
+    """Return how often each request ran, summed over the given targets."""
     total: dict[str, int] = {}
     for name in names:
         for request, count in fleet.stats(name)["runs"].items():
@@ -63,13 +67,13 @@
 
 
 def pay(
-    fleet: fleets.LocalFleet, host: str, name: str, tries: int = 3
+    fleet: fleets.LocalFleet, host: str, name: str, max_attempts: int = 3
 ) -> list[fleets.HttpAnswer]:
-    """Pay once, sending again with the same key until answered 200."""
+    """Pay once; retry with the same key until the answer is a 200."""
     key = f"{int(time.time() * 1000) + 20_000}-{name}"
     answers = []
     names = list(HOSTS)
-    for attempt in range(tries):
+    for attempt in range(max_attempts):
         at = names[(names.index(host) + attempt) % len(names)]
         answer = fleet.call(
             at,
@@ -88,10 +92,11 @@
 
 @pytest.mark.parametrize("victim", ["t-h2", "h2", "h1"])
 def test_a_process_is_killed_amid_payments(fleet, victim) -> None:
-    """Forty payments are sent, each again until it is answered.
+    """A target, its proxy or the entry proxy is killed amid payments.
 
-    A target, its proxy or the proxies' entry dies in the middle. Counted at
-    the targets, no payment ran twice; what ran on the dead is not sent on.
+    Forty payments are sent and retried with the same key. Counted at the
+    live targets, no payment may run twice: what may have run on the killed
+    process must not be sent to another.
     """
     for host in HOSTS:
         fleet.behave(f"t-{host}", delay_ms=60)
@@ -106,43 +111,44 @@
     alive = [f"t-{h}" for h in HOSTS if f"t-{h}" != victim]
     counted = runs(fleet, alive)
     assert max(counted.values()) == 1
-    good = sum(found[-1].status == 200 for found in answers)
-    assert good >= 20
+    succeeded = sum(attempts[-1].status == 200 for attempts in answers)
+    assert succeeded >= 20
 
 
-def test_callers_are_answered_whatever_single_process_dies(fleet) -> None:
-    """A target, a seed proxy and the control process die, one by one.
+def test_callers_are_answered_after_any_single_failure(fleet) -> None:
+    """A target, a seed and the control process are killed one by one.
 
-    Callers of the other proxies may see what ran on the dead; within two
-    seconds every request is answered again.
+    Callers of other proxies may see failures of requests that ran on the
+    killed process. After two seconds every request must be answered.
     """
     addresses = [fleet.members[h].address("callers") for h in ("h1", "h3")]
     for victim in ("t-h2", "h2", "control1"):
         fleet.kill(victim)
-        sender = load.Load(addresses, 60, seed=3)
-        asyncio.run(sender.run(4, [load.Shape(path="/slots")]))
-        late = [s for s in sender.samples if s.at_s > 2]
+        generator = load.Load(addresses, 60, seed=3)
+        asyncio.run(generator.run(4, [load.Shape(path="/slots")]))
+        late = [s for s in generator.samples if s.at_s > 2]
         assert [s.status for s in late if s.status != 200] == [], victim
 
 
-def test_a_frozen_target_costs_only_its_own_requests(fleet) -> None:
-    """A target stops answering without closing anything.
+def test_a_suspended_target_fails_only_its_own_requests(fleet) -> None:
+    """A target is suspended with all its connections open.
 
-    Its requests end at their deadline or are sent on; the others serve.
+    Its requests must time out or be retried, and the other targets must
+    still serve theirs.
     """
     fleet.freeze("t-h2")
-    sender = load.Load(
+    generator = load.Load(
         [fleet.members[h].address("callers") for h in HOSTS], 60, seed=3
     )
-    asyncio.run(sender.run(5, [load.Shape(path="/slots")]))
-    late = [s for s in sender.samples if s.at_s > 2.5]
-    good = sum(sample.status == 200 for sample in late)
-    assert good >= 0.9 * len(late)
+    asyncio.run(generator.run(5, [load.Shape(path="/slots")]))
+    late = [s for s in generator.samples if s.at_s > 2.5]
+    succeeded = sum(sample.status == 200 for sample in late)
+    assert succeeded >= 0.9 * len(late)
     fleet.thaw("t-h2")
 
 
 def test_a_poison_request_stops_after_two_targets(fleet) -> None:
-    """A caller sends a request again that crashes what runs it."""
+    """A caller retries a request that crashes each target that runs it."""
     for host in HOSTS:
         fleet.behave(f"t-{host}", crash_word="poison")
     statuses = []
@@ -158,24 +164,24 @@
     ]
     assert len(dead) == 2
     assert statuses[-1] == 422
-    served = [h for h in HOSTS if h not in dead][0]
-    assert fleet.call(served, "/slots").status == 200
+    live_host = [h for h in HOSTS if h not in dead][0]
+    assert fleet.call(live_host, "/slots").status == 200
 
 
 def test_a_rolling_restart_cuts_no_payment(fleet) -> None:
-    """Every proxy is told to leave in turn, under payments.
+    """Three proxies are shut down and restarted in turn during payments.
 
-    What runs there ends with its answer; a proxy that leaves refuses new
-    requests as not run and then ends by itself.
+    Requests in flight must be answered. A proxy that shuts down must refuse
+    new requests as not run and then exit cleanly.
     """
     for host in HOSTS:
         fleet.behave(f"t-{host}", delay_ms=40)
-    stopping = threading.Event()
-    found: list[fleets.HttpAnswer] = []
+    stopped = threading.Event()
+    answers: list[fleets.HttpAnswer] = []
 
     def traffic() -> None:
         number = 0
-        while not stopping.is_set():
+        while not stopped.is_set():
             number += 1
             answer = fleet.call(
                 "h4",
@@ -184,7 +190,7 @@
                 body=b"x",
                 headers={"X-Request-Name": f"r{number}"},
             )
-            found.append(answer)
+            answers.append(answer)
 
     threads = [threading.Thread(target=traffic) for _ in range(3)]
     for thread in threads:
@@ -192,75 +198,87 @@
     for host in ("h1", "h2", "h3"):
         fleet.terminate(host)
         process = fleet.members[host].process
-        fleets.wait_for("its end", lambda: process.poll() is not None, 15)
+        fleets.wait_for(
+            "the proxy to exit", lambda: process.poll() is not None, 15
+        )
         assert "clean=True" in fleet.log(host)
         fleet.start(host)
         fleets.wait_for(
-            "its return", lambda: fleet.call(host, "/slots").status == 200
+            "the restarted proxy to serve",
+            lambda: fleet.call(host, "/slots").status == 200,
         )
-    stopping.set()
+    stopped.set()
     for thread in threads:
         thread.join()
-    cut = [a for a in found if a.status not in (200, 503)]
-    refused = [a for a in found if a.status == 503]
+    cut = [a for a in answers if a.status not in (200, 503)]
+    refused = [a for a in answers if a.status == 503]
     assert cut == []
     assert all(a.headers["X-Trefoil-Outcome"] == "not-run" for a in refused)
-    assert len(found) > 50
+    assert len(answers) > 50
 
 
 class SilentRelay:
-    """A relay that can go silent on open connections, as a NAT does."""
+    """A relay that can drop the state of open connections, as a NAT does."""
 
     def __init__(self, ip: str, port: int) -> None:
-        self.target = (ip, port)
+        self.upstream_address = (ip, port)
         self.listener = socket.create_server((ip, 0))
         self.port = self.listener.getsockname()[1]
-        self.silent_before = 0.0
+        self.silenced_at_s = 0.0
         self.closing = False
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def go_silent(self) -> None:
-        """Carry nothing more on the connections that are open now."""
-        self.silent_before = time.monotonic()
+    def silence(self) -> None:
+        """Drop all further bytes of the connections that are open now."""
+        self.silenced_at_s = time.monotonic()
 
     def _accept(self) -> None:
         while not self.closing:
             try:
-                inner, _ = self.listener.accept()
+                downstream, _ = self.listener.accept()
             except OSError:
                 return
-            outer = socket.create_connection(self.target)
-            born = time.monotonic()
-            for one, other in ((inner, outer), (outer, inner)):
+            upstream = socket.create_connection(self.upstream_address)
+            opened_at_s = time.monotonic()
+            for source, destination in (
+                (downstream, upstream),
+                (upstream, downstream),
+            ):
                 threading.Thread(
-                    target=self._pump, args=(one, other, born), daemon=True
+                    target=self._copy,
+                    args=(source, destination, opened_at_s),
+                    daemon=True,
                 ).start()
 
-    def _pump(
-        self, one: socket.socket, other: socket.socket, born: float
+    def _copy(
+        self,
+        source: socket.socket,
+        destination: socket.socket,
+        opened_at_s: float,
     ) -> None:
         while True:
             try:
-                data = one.recv(65536)
+                data = source.recv(65536)
                 if not data:
-                    other.close()
+                    destination.close()
                     return
-                if born >= self.silent_before:
-                    other.sendall(data)
+                if opened_at_s >= self.silenced_at_s:
+                    destination.sendall(data)
             except OSError:
                 return
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         self.closing = True
         self.listener.close()
 
 
 def test_connections_that_went_silent_are_replaced(fleet) -> None:
-    """Something between proxy and target forgets all open connections.
+    """A middlebox between proxy and target drops its connection state.
 
-    Bytes vanish without an error while new connections work. Requests are
-    served again within seconds, on fresh connections.
+    Bytes on open connections are lost without an error, while new
+    connections work. Requests must be served within three seconds, on new
+    connections.
     """
     member = fleet.members["t-h1"]
     relay = SilentRelay(member.ip, member.ports["http"])
@@ -274,25 +292,25 @@
                 f'"resources": ["kitchen"], "port": {relay.port}}}'
             ).encode(),
         )
-        _keep_announced(fleet, relay.port)
+        _renew_announcement(fleet, relay.port)
         fleets.wait_for(
             "the relayed target",
             lambda: fleet.call("h1", "/kitchen/1").status == 200,
         )
-        sender = load.Load(
+        generator = load.Load(
             [fleet.members["h1"].address("callers")], 80, seed=3
         )
-        silence = threading.Timer(2, relay.go_silent)
-        silence.start()
-        asyncio.run(sender.run(7, [load.Shape(path="/kitchen/1")]))
-        late = [s for s in sender.samples if s.at_s > 5]
-        good = sum(sample.status == 200 for sample in late)
-        assert good >= 0.95 * len(late)
+        timer = threading.Timer(2, relay.silence)
+        timer.start()
+        asyncio.run(generator.run(7, [load.Shape(path="/kitchen/1")]))
+        late = [s for s in generator.samples if s.at_s > 5]
+        succeeded = sum(sample.status == 200 for sample in late)
+        assert succeeded >= 0.95 * len(late)
     finally:
         relay.close()
 
 
-def _keep_announced(fleet: fleets.LocalFleet, port: int) -> None:
+def _renew_announcement(fleet: fleets.LocalFleet, port: int) -> None:
     def renew() -> None:
         for _ in range(20):
             fleets.http(
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -1,4 +1,4 @@
-"""The table of safeguards against the code and the tests that it names."""
+"""Checks the table of safeguards against the code and tests it names."""
 
 import pathlib
 
@@ -10,8 +10,8 @@
 
 
 @pytest.mark.parametrize("row", TABLE, ids=lambda row: row["name"])
-def test_a_safeguard_stands_where_the_table_says(row: dict[str, str]) -> None:
-    """A row whose text is gone takes nothing out, and so proves nothing."""
+def test_each_safeguard_matches_its_code_and_test(row: dict[str, str]) -> None:
+    """A row whose text is not in the code would disable no safeguard."""
     text = (ROOT / row["file"]).read_text("utf-8")
     assert text.count(row["old"]) == 1
     file, _, name = row["test"].partition("::")
