--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -56,8 +56,8 @@
 def test_the_leader_is_killed_amid_commands(fleet) -> None:
     """The leader is killed while an operator sends commands.
 
-    Some replies are lost. When it is sent again under its number, each
-    command must keep its outcome, and none answered "done" may be lost.
+    Some replies are lost. Each command is sent again under its number and
+    must keep its outcome; none answered "done" may be lost.
     """
     leader = fleet.leader()
     at = other_controls(fleet, leader)[0]
