--- a/soak/plan.py
+++ b/soak/plan.py
@@ -5,8 +5,8 @@
 import random
 
 FIRST_FAULT_S = 0.5
-# Longer than the detection of an unresponsive connection and than one step
-# of a move that takes seconds.
+# Exceeds the time to detect an unresponsive connection, and the length of one
+# step of a move that takes seconds.
 MAX_FAULT_S = 5.0
 
 
@@ -17,9 +17,9 @@
     are restarted. WIPE and TEAR kill a control process and delete its data
     folder or append an incomplete record to its log. PAUSE suspends a
     process. TERMINATE restarts one proxy gracefully, ROLL all in turn. The
-    others act on the connections to a process: HOLD_IN and HOLD_OUT hold the
-    bytes of one direction, CUT of both, and SILENCE drops the bytes of the
-    connections that are open.
+    others act on the connections to a process: DELAY adds latency, RESET
+    resets the connections that are open, and SILENCE drops their bytes.
+    HOLD_IN and HOLD_OUT hold the bytes of one direction, CUT of both.
     """
 
     KILL = "kill"
@@ -111,7 +111,8 @@
         count = plan.rng.randint(3, max(int(duration_s * 0.8), 4))
         at_s = FIRST_FAULT_S
         for _ in range(count):
-            # Half of the faults follow at once, so that they overlap.
+            # With even odds, a fault begins right after the previous one, so
+            # that faults overlap.
             at_s += plan.rng.choice((0.05, 2 * duration_s / count))
             if at_s > duration_s:
                 break
--- a/soak/trouble.py
+++ b/soak/trouble.py
@@ -89,12 +89,12 @@
         self,
         names: list[str],
         for_s: float,
-        on_disk: typing.Callable[[str], None] | None = None,
+        damage_disk: typing.Callable[[str], None] | None = None,
     ) -> None:
         killed = [n for n in names if self.deployment.kill_if_up(n)]
-        if on_disk is not None:
+        if damage_disk is not None:
             for name in killed:
-                on_disk(name)
+                damage_disk(name)
         time.sleep(for_s)
         for name in killed:
             self.deployment.restart(name)
