--- a/soak/callers.py
+++ b/soak/callers.py
@@ -19,7 +19,7 @@
 ANSWER_TIMEOUT_S = 6.0
 MAX_ATTEMPTS = 3
 PAYMENT_SHARE = 0.4
-# A key is valid for ten minutes from the timestamp at its start.
+# A key is valid for ten minutes from the timestamp that it begins with.
 KEY_AHEAD_MS = 20_000
 OK = 200
 # Statuses that guarantee that the request did not run and never will.
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -16,7 +16,7 @@
 CONTROL_COUNT = 3
 # A torn write: the beginning of a record that was never synced.
 TORN_RECORD = b"\x00\x00\x01\x40torn"
-# Time for the requests in flight when a process is asked to shut down.
+# Time that a process has for its requests in flight when it shuts down.
 GRACE_S = 8.0
 SHUTDOWN_TIMEOUT_S = GRACE_S + 4.0
 
@@ -154,7 +154,11 @@
     # Faults
 
     def kill_if_up(self, name: str) -> bool:
-        """Kill a process; return False if it is down already."""
+        """Kill a process.
+
+        Returns:
+            False if it is down already or another fault is restarting it.
+        """
         if not self.is_up(name) or name in self.expected_down:
             return False
         self.expected_down.add(name)
@@ -176,10 +180,13 @@
             process.send_signal(signal.SIGCONT)
 
     def restart_gracefully(self, name: str) -> bool:
-        """Shut a process down and start it; return False if it is down.
+        """Shut a process down and start it.
+
+        Returns:
+            False if it is down already or another fault is restarting it.
 
         Raises:
-            TimeoutExpired: It did not exit within its grace period.
+            TimeoutExpired: It did not exit within ``SHUTDOWN_TIMEOUT_S``.
         """
         if not self.is_up(name) or name in self.expected_down:
             return False
--- a/soak/watch.py
+++ b/soak/watch.py
@@ -140,7 +140,8 @@
         try:
             answer = client.Client(address).settle(line, OUTCOME_TIMEOUT_S)
         except (client.Unreachable, client.Refused):
-            # Unreachable: the next attempt reuses the command number.
+            # The next attempt asks another control process, under the same
+            # command number.
             time.sleep(POLL_INTERVAL_S)
             return ""
         outcome = answer["outcome"]
