--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -21,7 +21,7 @@
 EMPTY_HELLO = frames.encode(messages.Hello())
 BINARY_DATA = bytes(range(256)) * 40
 CASES = [
-    ("noise to callers", "h1", "callers", BINARY_DATA),
+    ("binary data to callers", "h1", "callers", BINARY_DATA),
     ("TLS to callers", "h1", "callers", b"\x16\x03\x01\x02\x00\x01\x00"),
     ("endless head", "h1", "callers", b"GET / HTTP/1.1\r\n" + b"a" * 70_000),
     (
@@ -31,18 +31,18 @@
         b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999\r\n\r\n",
     ),
     ("no host", "h1", "callers", b"GET /slots HTTP/1.1\r\n\r\n"),
-    ("noise to peers", "h1", "peers", BINARY_DATA),
+    ("binary data to peers", "h1", "peers", BINARY_DATA),
     ("huge frame", "h1", "peers", b"\xff\xff\xff\xff\x00" * 10),
-    ("no greeting", "h1", "peers", frames.encode(messages.Ping(1))),
-    ("empty greeting", "h1", "peers", EMPTY_HELLO),
+    ("no hello", "h1", "peers", frames.encode(messages.Ping(1))),
+    ("empty hello", "h1", "peers", EMPTY_HELLO),
     (
         "empty messages",
         "h1",
         "peers",
         HELLO + b"".join(frames.encode(kind()) for kind in frames.TYPES),
     ),
-    ("noise to targets' port", "h1", "admin", BINARY_DATA),
-    ("noise to control peers", "control1", "peers", BINARY_DATA),
+    ("binary data to targets' port", "h1", "admin", BINARY_DATA),
+    ("binary data to control peers", "control1", "peers", BINARY_DATA),
     (
         "empty votes",
         "control1",
@@ -55,7 +55,7 @@
         "peers",
         HELLO + frames.encode(messages.CommandRequest()),
     ),
-    ("noise to operators", "control1", "admin", BINARY_DATA),
+    ("binary data to operators", "control1", "admin", BINARY_DATA),
 ]
 
 
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -66,13 +66,13 @@
     results = {}
     for number in range(12):
         line = f"drain d{number}"
-        name = f"{int(time.time() * 1000)}-{number}"
-        answer = fleet.say(line, at=at, number=name, wait_s=20)
-        results[name] = (line, answer["outcome"])
+        command_number = f"{int(time.time() * 1000)}-{number}"
+        answer = fleet.say(line, at=at, number=command_number, wait_s=20)
+        results[command_number] = (line, answer["outcome"])
     killer.join()
     assert {outcome for _, outcome in results.values()} == {"done"}
-    for name, (line, outcome) in results.items():
-        resent = fleet.say(line, at=at, number=name)
+    for command_number, (line, outcome) in results.items():
+        resent = fleet.say(line, at=at, number=command_number)
         assert resent["outcome"] == outcome
     fleet.wait_ready(4)
 
@@ -163,7 +163,11 @@
 
 
 def test_a_process_restarts_after_five_hundred_changes(fleet) -> None:
-    """A control process is down during five hundred changes."""
+    """A control process is down during five hundred changes.
+
+    It must catch up, so that commands still run when the third control
+    process is killed.
+    """
     leader = fleet.leader()
     restarted = other_controls(fleet, leader)[0]
     fleet.kill(restarted)
@@ -212,13 +216,11 @@
     assert sorted(outcomes.values()) == ["done", "not run"]
 
 
-def test_a_proxy_restarts_in_an_isolated_domain_and_serves(
-    fleet,
-) -> None:
+def test_a_proxy_restarts_in_an_isolated_domain_and_serves(fleet) -> None:
     """A proxy restarts while all control hosts are down.
 
-    The seeds of its failure domain must confirm the floor, so that it puts
-    the revision that it had in force again.
+    The seeds of its failure domain must confirm the floor, so that the proxy
+    puts the same revision in force as before.
     """
     previous = revisions(fleet, "control1")["h1"]
     fleet.kill(*fleet.control_names)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -14,8 +14,8 @@
     """The demo moves to a good version, then to a faulty one.
 
     The good version must get all traffic. The faulty one fails one request
-    in four, more than the old version, and must lose its traffic before it
-    has all of it.
+    in four, more than the old version, and must be taken back before it
+    gets all traffic.
     """
     completed = subprocess.run(
         [sys.executable, "demo/run.py"],
--- a/tests/test_move_processes.py
+++ b/tests/test_move_processes.py
@@ -26,7 +26,7 @@
         local_fleet.add_controls()
         local_fleet.add_proxies(HOSTS)
         for host in HOSTS:
-            _add(local_fleet, host, "v1", {})
+            _add_target(local_fleet, host, "v1", {})
         local_fleet.start()
         local_fleet.wait_leader()
         local_fleet.say("apply matbakh.yaml", document=DOCUMENT)
@@ -39,7 +39,7 @@
         yield local_fleet
 
 
-def _add(
+def _add_target(
     fleet: fleets.LocalFleet,
     host: str,
     version: str,
@@ -68,7 +68,7 @@
     The next leader must continue from the agreed step. A good version gets
     all traffic in time; a faulty one is taken back.
     """
-    fleet.start(*[_add(fleet, host, "v2", behave) for host in HOSTS])
+    fleet.start(*[_add_target(fleet, host, "v2", behave) for host in HOSTS])
     answer = fleet.say("move tables from v1 to v2 in 25s watch 4s")
     assert answer["outcome"] == "done"
     leader = fleet.leader()
@@ -100,7 +100,7 @@
 
 
 def test_an_operator_reverses_a_move(fleet) -> None:
-    fleet.start(*[_add(fleet, host, "v2", {}) for host in HOSTS])
+    fleet.start(*[_add_target(fleet, host, "v2", {}) for host in HOSTS])
     fleet.say("move tables from v1 to v2 in 60s")
     fleets.wait_for(
         "the first step",
--- a/tests/test_request_processes.py
+++ b/tests/test_request_processes.py
@@ -148,7 +148,10 @@
 
 
 def test_a_poison_request_stops_after_two_targets(fleet) -> None:
-    """A caller retries a request that crashes each target that runs it."""
+    """A caller retries a request that crashes each target that runs it.
+
+    After two crashes it must be refused, and the other targets must live.
+    """
     for host in HOSTS:
         fleet.behave(f"t-{host}", crash_word="poison")
     statuses = []
--- a/tests/test_safeguards.py
+++ b/tests/test_safeguards.py
@@ -11,7 +11,10 @@
 
 @pytest.mark.parametrize("row", TABLE, ids=lambda row: row["name"])
 def test_each_safeguard_matches_its_code_and_test(row: dict[str, str]) -> None:
-    """A row whose text is not in the code would disable no safeguard."""
+    """Each row's text must be in the code and its test must exist.
+
+    Otherwise the row would disable no safeguard and so prove nothing.
+    """
     text = (ROOT / row["file"]).read_text("utf-8")
     assert text.count(row["old"]) == 1
     file, _, name = row["test"].partition("::")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -42,7 +42,7 @@
 
 @pytest.mark.processes
 def test_a_short_run_violates_no_guarantee() -> None:
-    """Faults are injected for five seconds, under a seed of this test only.
+    """Faults are injected for five seconds, with a seed of this test only.
 
     Callers, targets and the operator must observe no violation, and all
     proxies must serve again afterwards.
@@ -74,7 +74,7 @@
 
 
 def attempt(name: str, status: int, sent_s: float = 0.0) -> callers.Attempt:
-    """Return a request to h1 that was answered at once."""
+    """Return a request to h1 that ended as soon as it was sent."""
     return callers.Attempt(name, "pay1", "h1", sent_s, sent_s, status)
 
 
@@ -92,7 +92,10 @@
 
 
 def test_shutdowns_near_faults_are_not_checked() -> None:
-    """A payment cut by a shutdown is reported unless its target was killed."""
+    """A payment cut by a shutdown is reported only if it ran.
+
+    It must not be reported if a target was killed just before.
+    """
     cut = attempt("pay1.0", 0, 5.0)
     shutdowns = [deployment.Shutdown("h1", 4.0, 6.0)]
     killed = [plans.Fault(3.0, plans.Kind.KILL, "t1", 1.0)]
