--- a/libs/requests/src/trefoil_requests/bodies.py
+++ b/libs/requests/src/trefoil_requests/bodies.py
@@ -202,7 +202,7 @@
         "link_rate",
         "utilization",
         "utilization_updated_ms",
-        "out",
+        "pending_effects",
     )
 
     def __init__(self) -> None:
@@ -212,7 +212,7 @@
         self.utilization_updated_ms = 0
         self.waiting: dict[int, IncomingBody] = {}
         self.active: list[IncomingBody] = []
-        self.out: list[ChunkRequest] = []
+        self.pending_effects: list[ChunkRequest] = []
 
     def add(
         self,
@@ -374,12 +374,12 @@
             length = min(CHUNK_BYTES, body.size - body.requested)
             pull = messages.BodyPull(body.request_id, body.requested, length)
             body.requested += length
-            self.out.append(ChunkRequest(body.origin, pull))
+            self.pending_effects.append(ChunkRequest(body.origin, pull))
 
     def _is_late(self, body: IncomingBody, now_ms: int) -> bool:
         return body.is_late(now_ms, self.bytes_per_ms)
 
     def _flush(self) -> list[ChunkRequest]:
-        out = self.out
-        self.out = []
-        return out
+        pending_effects = self.pending_effects
+        self.pending_effects = []
+        return pending_effects
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -88,7 +88,7 @@
         "by_request",
         "draining",
         "last_id",
-        "out",
+        "pending_effects",
     )
 
     def __init__(
@@ -118,7 +118,7 @@
         self.by_request: dict[int, int] = {}
         self.draining = False
         self.last_id = rng.getrandbits(61)
-        self.out: list[typing.Any] = []
+        self.pending_effects: list[typing.Any] = []
 
     # Configuration and fleet
 
@@ -208,7 +208,7 @@
             return None
 
     def _refuse(self, call: calls.Call, status: int, reason: str) -> None:
-        self.out.append(
+        self.pending_effects.append(
             effects.Finish(
                 calls.Final(
                     call.call_id,
@@ -259,7 +259,7 @@
                 case ledgers.ClaimUndecided():
                     self._finish_unknown(item.call_id)
                 case _:
-                    self.out.append(item)
+                    self.pending_effects.append(item)
 
     def _attempt(
         self, live: live_calls.LiveCall, now_ms: int, now_us: int
@@ -316,7 +316,7 @@
             services_key=self.targets.services_key,
             repeat_permille=_repeat_permille(live),
         )
-        self.out.append(
+        self.pending_effects.append(
             effects.Forward(endpoint.host, endpoint.address, request)
         )
 
@@ -389,7 +389,7 @@
         failed = answer.status >= MIN_FAILED_STATUS
         run_us = answer.service_us or latency_us
         self._observe(live, latency_us, run_us, failed, now_ms)
-        self.out.extend(
+        self.pending_effects.extend(
             observing.overtaken(self.placement.endpoints, live, now_ms, now_us)
         )
         if not failed:
@@ -397,9 +397,11 @@
                 live.fingerprint, self._next_id()
             )
             if notice is not None:
-                self.out.append(effects.BroadcastNotice(notice))
+                self.pending_effects.append(effects.BroadcastNotice(notice))
         if live.claim is not None:
-            self.out.extend(ledgers.store_answer(live.claim, answer))
+            self.pending_effects.extend(
+                ledgers.store_answer(live.claim, answer)
+            )
             live.claim = None
         self._finish(
             live,
@@ -664,7 +666,7 @@
         failed: bool,
         now_ms: int,
     ) -> None:
-        self.out.extend(
+        self.pending_effects.extend(
             observing.answered(
                 self.placement.endpoints,
                 live,
@@ -721,13 +723,13 @@
         if live.request_id in self.by_request:
             self._send_cancel(live.request_id, live.endpoint)
         else:
-            self.out.extend(self.claims.drop(live.call.call_id))
+            self.pending_effects.extend(self.claims.drop(live.call.call_id))
 
     def _send_cancel(
         self, request_id: int, endpoint: routing.Endpoint
     ) -> None:
         self.by_request.pop(request_id, None)
-        self.out.append(
+        self.pending_effects.append(
             effects.Send(
                 endpoint.host, endpoint.address, messages.Cancel(request_id)
             )
@@ -757,7 +759,7 @@
         wait_ms: int = 0,
     ) -> None:
         if live.claim is not None:
-            self.out.extend(ledgers.release(live.claim))
+            self.pending_effects.extend(ledgers.release(live.claim))
             live.claim = None
         self._finish(
             live,
@@ -829,7 +831,7 @@
         if final.own:
             self._log_own_answer(live, final)
         self._drop(live)
-        self.out.append(effects.Finish(final))
+        self.pending_effects.append(effects.Finish(final))
 
     def _drop(self, live: live_calls.LiveCall) -> None:
         self.live.pop(live.call.call_id, None)
@@ -862,7 +864,7 @@
         self, event: str, live: live_calls.LiveCall, **fields: typing.Any
     ) -> None:
         revision = self.placement.table.revision if self.placement.table else 0
-        self.out.append(
+        self.pending_effects.append(
             common.Note(
                 event,
                 {
@@ -882,9 +884,9 @@
         return self.last_id
 
     def _flush(self) -> list[typing.Any]:
-        out = self.out
-        self.out = []
-        return out
+        pending_effects = self.pending_effects
+        self.pending_effects = []
+        return pending_effects
 
 
 def _repeat_permille(live: live_calls.LiveCall) -> int:
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -105,14 +105,14 @@
     """The keys that this host stores as a replica.
 
     Args:
-        me: Name of this host.
+        local_host: Name of this host.
         incarnation: Identifier of this run of the process.
         now_ms: Start of this process on the runtime's clock.
         wall_ms: Start of this process on the wall clock.
     """
 
     __slots__ = (
-        "me",
+        "local_host",
         "incarnation",
         "started_ms",
         "started_wall_ms",
@@ -129,9 +129,9 @@
     )
 
     def __init__(
-        self, me: str, incarnation: int, now_ms: int, wall_ms: int
+        self, local_host: str, incarnation: int, now_ms: int, wall_ms: int
     ) -> None:
-        self.me = me
+        self.local_host = local_host
         self.incarnation = incarnation
         self.started_ms = now_ms
         self.started_wall_ms = wall_ms
@@ -219,7 +219,7 @@
             return []
         if self.sync_pending is None:
             self.sync_pending = self._other_hosts()
-            ranked = hashing.rank(self.me, self.sync_pending)
+            ranked = hashing.rank(self.local_host, self.sync_pending)
             self.unanswered = set(ranked[:SAMPLE_HOSTS])
         asked = self.sync_pending if self.keys_in_use else self.unanswered
         self.sync_at_ms = now_ms + self.sync_interval_ms
@@ -239,7 +239,7 @@
         hosts_to_ask: set[str] = set()
         for hosts in self.sets.hosts.values():
             hosts_to_ask |= hosts
-        hosts_to_ask.discard(self.me)
+        hosts_to_ask.discard(self.local_host)
         return hosts_to_ask
 
     def pull(
@@ -258,7 +258,7 @@
             if now_ms - record.at_ms < RETENTION_MS
         ]
         complete = self.can_confirm(0, now_ms)
-        return messages.LedgerPush(self.me, entries, complete)
+        return messages.LedgerPush(self.local_host, entries, complete)
 
     def push(self, push: messages.LedgerPush, now_ms: int) -> None:
         """Restore records that another host holds."""
@@ -285,7 +285,9 @@
         verdict: int,
         answer: messages.Answer | None = None,
     ) -> messages.ClaimReply:
-        return messages.ClaimReply(claim.claim_id, verdict, answer, self.me)
+        return messages.ClaimReply(
+            claim.claim_id, verdict, answer, self.local_host
+        )
 
     def _answer_for(
         self, record: ClaimRecord, claim: messages.Claim
@@ -381,11 +383,11 @@
 
     def tick(self, now_ms: int) -> list[typing.Any]:
         """End the claims whose replicas did not reply in time."""
-        out: list[typing.Any] = []
+        results: list[typing.Any] = []
         for pending in list(self.pending.values()):
             if now_ms >= pending.deadline_at_ms:
-                out.extend(self._give_up(pending))
-        return out
+                results.extend(self._give_up(pending))
+        return results
 
     def drop(self, call_id: int) -> list[typing.Any]:
         """Release the claim of a call that has ended."""
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -164,7 +164,7 @@
         "limits",
         "origins",
         "parents",
-        "out",
+        "pending_effects",
     )
 
     def __init__(
@@ -189,7 +189,7 @@
         self.limits: dict[str, warmups.Limit] = {}
         self.origins = attribution.Origins()
         self.parents = attribution.Parents()
-        self.out: list[typing.Any] = []
+        self.pending_effects: list[typing.Any] = []
 
     # Targets
 
@@ -301,7 +301,9 @@
         if target.slots.warmup.limit is not None:
             target.slots.warmup.assume_cold(now_ms)
             service = target.record.service_name
-            self.out.append(effects.CheckWarmup(name, target.port, service))
+            self.pending_effects.append(
+                effects.CheckWarmup(name, target.port, service)
+            )
 
     def on_warmup(self, name: str, left_ms: int, now_ms: int) -> None:
         """Set how much longer a target is cold, as it replied."""
@@ -432,7 +434,7 @@
             )
             return
         self.running[request.request_id] = tracked
-        self.out += self.incoming_bodies.add(
+        self.pending_effects += self.incoming_bodies.add(
             request.request_id,
             tracked.origin,
             request.body_bytes,
@@ -509,7 +511,9 @@
     def _remove(self, request_id: int, now_ms: int) -> TrackedRequest:
         """Remove a request and its body, if that is incomplete."""
         if self.incoming_bodies.waits_for(request_id):
-            self.out += self.incoming_bodies.remove(request_id, now_ms)
+            self.pending_effects += self.incoming_bodies.remove(
+                request_id, now_ms
+            )
         return self.running.pop(request_id)
 
     def on_body_chunk(
@@ -518,7 +522,7 @@
         """Receive a chunk of a body; admit the request after the last one."""
         self.now_ms = now_ms
         complete, chunk_requests = self.incoming_bodies.receive(chunk, now_ms)
-        self.out += chunk_requests
+        self.pending_effects += chunk_requests
         tracked = self.running.get(chunk.request_id)
         if complete is not None and tracked is not None:
             tracked.request.body = complete
@@ -534,9 +538,11 @@
         tracked.dispatched_ms = now_ms
         if tracked.request.repeat_permille == CERTAIN_PERMILLE:
             request_id = tracked.request.request_id
-            self.out.append(effects.RepeatArrived(tracked.origin, request_id))
+            self.pending_effects.append(
+                effects.RepeatArrived(tracked.origin, request_id)
+            )
         target = self.targets[tracked.target]
-        self.out.append(
+        self.pending_effects.append(
             effects.Dispatch(
                 tracked.target,
                 target.port,
@@ -552,7 +558,7 @@
         if tracked is None:
             return []
         if tracked.is_dispatched:
-            self.out.append(effects.Abort(request_id))
+            self.pending_effects.append(effects.Abort(request_id))
             self._release(tracked, now_ms)
         else:
             self.targets[tracked.target].slots.withdraw(request_id)
@@ -587,7 +593,7 @@
         answer.load = self._load_of(tracked.target)
         answer.body_wait_ms = self.incoming_bodies.expected_ms(self.now_ms)
         answer.held_ms = self.now_ms - tracked.received_ms
-        self.out.append(effects.Reply(tracked.origin, answer))
+        self.pending_effects.append(effects.Reply(tracked.origin, answer))
 
     def _called_permille(self, request: messages.Request) -> int:
         """Return the share of such requests that are calls of targets.
@@ -654,13 +660,13 @@
             self._start_waiting(target, now_ms)
         for tracked in list(self.running.values()):
             self._expire(tracked, now_ms)
-        self.out += self.incoming_bodies.tick(now_ms)
+        self.pending_effects += self.incoming_bodies.tick(now_ms)
         for name, crash in list(self.crashes.items()):
             if now_ms - crash.first_break_ms >= CRASH_WINDOW_MS:
                 self._check_crash(name, crash)
         for target in self.targets.values():
             moment = self._moment(target)
-            self.out += target.occupancy.tell(moment, now_ms)
+            self.pending_effects += target.occupancy.tell(moment, now_ms)
         return self._flush()
 
     def _moment(self, target: LocalTarget) -> occupancies.Moment:
@@ -715,7 +721,7 @@
             self._report_crash(crash)
         elif not crash.check_pending:
             crash.check_pending = True
-            self.out.append(effects.CheckTarget(name, target.port))
+            self.pending_effects.append(effects.CheckTarget(name, target.port))
 
     def on_target_checked(self, name: str, accepts: bool) -> list[typing.Any]:
         """Process the check of a target whose connections broke.
@@ -745,7 +751,7 @@
 
     def _time_out(self, tracked: TrackedRequest, now_ms: int) -> None:
         request_id = tracked.request.request_id
-        self.out.append(effects.Abort(request_id))
+        self.pending_effects.append(effects.Abort(request_id))
         self._note(
             "target.timed_out", tracked, ran_ms=now_ms - tracked.dispatched_ms
         )
@@ -770,7 +776,7 @@
             cleared=False,
         )
         self.quarantine.receive(notice, crash.first_break_ms)
-        self.out.append(effects.BroadcastNotice(notice))
+        self.pending_effects.append(effects.BroadcastNotice(notice))
         for tracked in crash.requests:
             self._note("target.crashed", tracked, sole=sole)
             answer = messages.Answer(
@@ -839,7 +845,7 @@
         """Log an event of a request under the id that its caller gave."""
         target = self.targets.get(tracked.target)
         slots = target.slots if target is not None else None
-        self.out.append(
+        self.pending_effects.append(
             common.Note(
                 event,
                 {
@@ -864,9 +870,9 @@
             self.recent.popitem(last=False)
 
     def _flush(self) -> list[typing.Any]:
-        out = self.out
-        self.out = []
-        return out
+        pending_effects = self.pending_effects
+        self.pending_effects = []
+        return pending_effects
 
 
 def _queued_request(tracked: TrackedRequest) -> admission.QueuedRequest:
