--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -135,7 +135,9 @@
     ) -> None:
         """Update endpoints and replica sets from the hosts' records."""
         self.placement.records_changed(records, now_ms)
-        self.ledger.sets.update(self.placement.endpoints.hosts_of, now_ms)
+        self.ledger.replica_sets.update(
+            self.placement.endpoints.hosts_of, now_ms
+        )
 
     # Life cycle of a call
 
@@ -227,7 +229,7 @@
             claim_id=self._next_id(),
             key=key,
             fingerprint=live.fingerprint,
-            keepers=self.ledger.sets.replicas(service, key, now_ms),
+            keepers=self.ledger.replica_sets.replicas(service, key, now_ms),
             service_name=service,
             issued_ms=issued_ms,
         )
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -1,11 +1,12 @@
 """Replicated ledger of idempotency keys for once-only requests.
 
-Each key has up to three replicas: the first by rendezvous hash among the hosts
+Each key has up to three replicas, chosen by rendezvous hashing among the hosts
 of the service, including those that left recently. A request runs only after
-a majority of its replicas granted the claim, so two proxies cannot both run
-it. A replica that may have lost the key, because it restarted or because the
-key belonged to another replica, abstains. A claim without a majority is
-refused, and the answer says that it is unknown whether the key ran before.
+a majority of its replicas has granted the claim, so two proxies cannot both
+run it. A replica abstains if it may lack the record of an earlier claim,
+because it restarted or because the key had other replicas before. A claim
+without a majority is refused, and the answer says that it is unknown whether
+the request ran before.
 """
 
 import collections
@@ -23,10 +24,10 @@
 RETENTION_MS = 600_000
 MAX_CLOCK_SKEW_MS = 5000
 SYNC_INTERVAL_MS = 500
-# Hosts that restarted themselves cannot confirm keys for minutes, so the
+# Hosts that have restarted too cannot confirm keys for minutes, so the
 # interval between requests to them grows up to this bound.
 MAX_SYNC_INTERVAL_MS = 30_000
-# Number of hosts asked first, to find out whether callers send keys at all.
+# Number of hosts asked first, to detect whether callers send keys at all.
 SAMPLE_HOSTS = 3
 MAX_ENTRIES = 100_000
 MAX_ANSWER_BYTES = 8192
@@ -64,7 +65,12 @@
     def update(
         self, hosts_of: typing.Mapping[str, list[str]], now_ms: int
     ) -> None:
-        """Set the hosts that have targets of each service."""
+        """Update the hosts of each service.
+
+        Args:
+            hosts_of: Names of the hosts that have targets of each service.
+            now_ms: The time on the runtime's clock.
+        """
         for service in set(self.hosts) | set(hosts_of):
             new = set(hosts_of.get(service, ()))
             for host in self.hosts.get(service, set()) - new:
@@ -91,13 +97,13 @@
     Args:
         claim_id: The claim that was granted.
         fingerprint: Fingerprint of its request.
-        at_ms: When it was granted, on the runtime's clock.
-        answer: The answer for resends, once it is known.
+        granted_at_ms: When it was granted, on the runtime's clock.
+        answer: The answer to resends, None until it is known.
     """
 
     claim_id: int
     fingerprint: int
-    at_ms: int
+    granted_at_ms: int
     answer: messages.Answer | None = None
 
 
@@ -116,15 +122,15 @@
         "incarnation",
         "started_ms",
         "started_wall_ms",
-        "sets",
+        "replica_sets",
         "records",
         "synced",
         "keys_in_use",
-        "unanswered",
+        "sample_pending",
         "sync_pending",
         "sync_at_ms",
         "sync_interval_ms",
-        "answers",
+        "answer_sizes",
         "answer_bytes",
     )
 
@@ -135,15 +141,17 @@
         self.incarnation = incarnation
         self.started_ms = now_ms
         self.started_wall_ms = wall_ms
-        self.sets = ReplicaSets()
+        self.replica_sets = ReplicaSets()
         self.records: dict[int, ClaimRecord] = {}
         self.synced = False
         self.keys_in_use = False
-        self.unanswered: set[str] = set()
+        self.sample_pending: set[str] = set()
         self.sync_pending: set[str] | None = None
         self.sync_at_ms = 0
         self.sync_interval_ms = SYNC_INTERVAL_MS
-        self.answers: collections.deque[tuple[int, int]] = collections.deque()
+        self.answer_sizes: collections.deque[tuple[int, int]] = (
+            collections.deque()
+        )
         self.answer_bytes = 0
 
     def can_confirm(self, issued_ms: int, now_ms: int) -> bool:
@@ -159,14 +167,16 @@
     def claim(self, claim: messages.Claim, now_ms: int) -> messages.ClaimReply:
         """Grant a claim, report its key as taken, or abstain."""
         record = self.records.get(claim.key)
-        if record is not None and now_ms - record.at_ms < RETENTION_MS:
+        if record is not None and now_ms - record.granted_at_ms < RETENTION_MS:
             if record.claim_id == claim.claim_id:
                 return self._reply(claim, GRANTED)
             return self._reply(claim, TAKEN, self._answer_for(record, claim))
-        own_set = self.sets.replicas(claim.service_name, claim.key, now_ms)
+        own_set = self.replica_sets.replicas(
+            claim.service_name, claim.key, now_ms
+        )
         same_view = sorted(own_set) == sorted(claim.keepers or ())
         # A claimant with another view of the hosts could get its majority
-        # from other replicas than the claimant before it.
+        # from other replicas than an earlier claimant.
         if not same_view or not self.can_confirm(claim.issued_ms, now_ms):
             self._note_keys_in_use()
             return self._reply(claim, ABSTAIN)
@@ -184,8 +194,8 @@
         record = self.records.get(done.key)
         if record is not None and record.claim_id == done.claim_id:
             record.answer = done.answer
-            self.answers.append((done.key, len(done.answer.body or b"")))
-            self.answer_bytes += self.answers[-1][1]
+            self.answer_sizes.append((done.key, len(done.answer.body or b"")))
+            self.answer_bytes += self.answer_sizes[-1][1]
             self._drop_answers()
 
     def _drop_answers(self) -> None:
@@ -195,7 +205,7 @@
         answer itself.
         """
         while self.answer_bytes > MAX_TOTAL_ANSWER_BYTES:
-            key, size = self.answers.popleft()
+            key, size = self.answer_sizes.popleft()
             self.answer_bytes -= size
             if key in self.records:
                 self.records[key].answer = None
@@ -212,16 +222,21 @@
         """Return the hosts to pull the ledger from now.
 
         After a start only a few hosts are asked, and all of them once keys
-        are known to be in use. Otherwise each host of a fleet would ask every
-        other one until some host has run long enough to confirm keys.
+        are known to be in use. Otherwise, after a restart of the whole fleet,
+        each host would ask every other one until some host has run long enough
+        to confirm keys.
+
+        Args:
+            now_ms: The time on the runtime's clock.
+            ready: Whether a configuration is in force in this process.
         """
         if self.synced or not ready or now_ms < self.sync_at_ms:
             return []
         if self.sync_pending is None:
             self.sync_pending = self._other_hosts()
             ranked = hashing.rank(self.local_host, self.sync_pending)
-            self.unanswered = set(ranked[:SAMPLE_HOSTS])
-        asked = self.sync_pending if self.keys_in_use else self.unanswered
+            self.sample_pending = set(ranked[:SAMPLE_HOSTS])
+        asked = self.sync_pending if self.keys_in_use else self.sample_pending
         self.sync_at_ms = now_ms + self.sync_interval_ms
         if asked:
             interval_ms = 2 * self.sync_interval_ms
@@ -237,7 +252,7 @@
 
     def _other_hosts(self) -> set[str]:
         hosts_to_ask: set[str] = set()
-        for hosts in self.sets.hosts.values():
+        for hosts in self.replica_sets.hosts.values():
             hosts_to_ask |= hosts
         hosts_to_ask.discard(self.local_host)
         return hosts_to_ask
@@ -251,20 +266,20 @@
                 key=key,
                 claim_id=record.claim_id,
                 fingerprint=record.fingerprint,
-                age_ms=now_ms - record.at_ms,
+                age_ms=now_ms - record.granted_at_ms,
                 answer=record.answer,
             )
             for key, record in self.records.items()
-            if now_ms - record.at_ms < RETENTION_MS
+            if now_ms - record.granted_at_ms < RETENTION_MS
         ]
         complete = self.can_confirm(0, now_ms)
         return messages.LedgerPush(self.local_host, entries, complete)
 
     def push(self, push: messages.LedgerPush, now_ms: int) -> None:
-        """Restore records that another host holds."""
+        """Add the records that another host sent."""
         if push.entries:
             self._note_keys_in_use()
-        self.unanswered.discard(push.host)
+        self.sample_pending.discard(push.host)
         for entry in push.entries or ():
             if entry.key not in self.records:
                 self.records[entry.key] = ClaimRecord(
@@ -300,14 +315,22 @@
         """Drop the records past their retention period, never a live key."""
         while self.records:
             key, record = next(iter(self.records.items()))
-            if now_ms - record.at_ms < RETENTION_MS:
+            if now_ms - record.granted_at_ms < RETENTION_MS:
                 break
             del self.records[key]
 
 
 @dataclasses.dataclass(slots=True)
 class PendingClaim:
-    """A claim that waits for the replies of its replicas."""
+    """A claim that waits for the replies of its replicas.
+
+    Args:
+        call_id: The call that it was made for.
+        claim: The claim as sent.
+        deadline_at_ms: When it ends undecided, on the runtime's clock.
+        grants: Hosts of the replicas that granted it.
+        replies: Hosts of the replicas that granted it or abstained.
+    """
 
     call_id: int
     claim: messages.Claim
@@ -325,7 +348,13 @@
 
 @dataclasses.dataclass(slots=True)
 class KeyUsed:
-    """The key was used before; carries its answer, if it is stored."""
+    """The key was used before.
+
+    Args:
+        call_id: The call that sent the key.
+        answer: The stored answer to the first request with the key; None if
+            it is unknown or this request differs from the first.
+    """
 
     call_id: int
     answer: messages.Answer | None
@@ -352,7 +381,10 @@
     def begin(
         self, call_id: int, claim: messages.Claim, now_ms: int
     ) -> list[typing.Any]:
-        """Send a claim to its replicas."""
+        """Return the messages that send a claim to its replicas.
+
+        Without replicas the claim is undecided at once.
+        """
         self.pending[claim.claim_id] = PendingClaim(
             call_id, claim, now_ms + CLAIM_TIMEOUT_MS
         )
@@ -362,7 +394,12 @@
         return [effects.Send(host, "", claim) for host in claim.keepers]
 
     def receive_reply(self, reply: messages.ClaimReply) -> list[typing.Any]:
-        """Process the reply of a replica."""
+        """Process the reply of a replica.
+
+        Returns:
+            The outcome of the claim, once it is decided, and the messages that
+            release it if it was not granted.
+        """
         pending = self.pending.get(reply.claim_id)
         if pending is None or reply.host not in pending.claim.keepers:
             return []
@@ -378,7 +415,7 @@
             del self.pending[reply.claim_id]
             return [ClaimGranted(pending.call_id)]
         if len(pending.replies) == len(pending.claim.keepers):
-            return self._give_up(pending)
+            return self._end_undecided(pending)
         return []
 
     def tick(self, now_ms: int) -> list[typing.Any]:
@@ -386,7 +423,7 @@
         results: list[typing.Any] = []
         for pending in list(self.pending.values()):
             if now_ms >= pending.deadline_at_ms:
-                results.extend(self._give_up(pending))
+                results.extend(self._end_undecided(pending))
         return results
 
     def drop(self, call_id: int) -> list[typing.Any]:
@@ -397,7 +434,7 @@
                 return self._release(pending)
         return []
 
-    def _give_up(self, pending: PendingClaim) -> list[typing.Any]:
+    def _end_undecided(self, pending: PendingClaim) -> list[typing.Any]:
         self.pending.pop(pending.claim.claim_id, None)
         return self._release(pending) + [ClaimUndecided(pending.call_id)]
 
@@ -414,7 +451,10 @@
 def store_answer(
     claim: messages.Claim, answer: messages.Answer
 ) -> list[typing.Any]:
-    """Return the messages that store an answer at the replicas."""
+    """Return the messages that store an answer at the replicas.
+
+    An answer with a body over ``MAX_ANSWER_BYTES`` is counted and not stored.
+    """
     body = answer.body or b""
     stored = answer if len(body) <= MAX_ANSWER_BYTES else None
     if stored is None:
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -9,7 +9,7 @@
 def make_ledger() -> ledgers.Ledger:
     """Return the ledger of the host h1, one of three replicas."""
     ledger = ledgers.Ledger("h1", 1, 0, 0)
-    ledger.sets.update({"s": ["h1", "h2", "h3"]}, 0)
+    ledger.replica_sets.update({"s": ["h1", "h2", "h3"]}, 0)
     return ledger
 
 
@@ -65,12 +65,12 @@
 
 def test_a_host_that_left_recently_stays_in_the_ranking() -> None:
     """Otherwise two replicas of a key could change at once."""
-    sets = ledgers.ReplicaSets()
-    sets.update({"s": ["a", "b", "c", "d"]}, 0)
-    before = sets.replicas("s", 5, 0)
-    sets.update({"s": [h for h in "abcd" if h != before[0]]}, 10)
-    assert sets.replicas("s", 5, 20) == before
-    after = sets.replicas("s", 5, 20 + ledgers.RETENTION_MS)
+    replica_sets = ledgers.ReplicaSets()
+    replica_sets.update({"s": ["a", "b", "c", "d"]}, 0)
+    before = replica_sets.replicas("s", 5, 0)
+    replica_sets.update({"s": [h for h in "abcd" if h != before[0]]}, 10)
+    assert replica_sets.replicas("s", 5, 20) == before
+    after = replica_sets.replicas("s", 5, 20 + ledgers.RETENTION_MS)
     assert before[0] not in after
     assert set(before[1:]) <= set(after)
 
@@ -88,7 +88,7 @@
     """Return the ledger of the host h0 in a fleet of some hosts."""
     ledger = ledgers.Ledger("h0", 1, 0, 0)
     names = [f"h{number}" for number in range(hosts)]
-    ledger.sets.update({"s": names}, 0)
+    ledger.replica_sets.update({"s": names}, 0)
     return ledger
 
 
