--- a/libs/requests/tests/test_attribution.py
+++ b/libs/requests/tests/test_attribution.py
@@ -1,4 +1,4 @@
-"""Tests of which requests count as calls, and of which runs."""
+"""Tests of which requests count as targets' calls, and of which runs."""
 
 import dataclasses
 
@@ -11,21 +11,26 @@
 
 @dataclasses.dataclass
 class Run:
-    """Stands in for a request that runs on a target."""
+    """Stub of a request that runs on a target."""
 
     route: str
     repeat: float = 0.0
     calls: float = 0.0
 
 
-def origins(front: int, back: int) -> attribution.Origins:
-    """Return a target's request counts by the services of the senders."""
-    senders = attribution.Origins()
-    senders.hosts = HOSTS
+def make_origins(front: int, back: int) -> attribution.Origins:
+    """Return the request counts of a target.
+
+    Args:
+        front: Requests from hosts with the service front.
+        back: Requests from hosts with the service back.
+    """
+    origins = attribution.Origins()
+    origins.hosts = HOSTS
     for services, count in (("front", front), ("back", back)):
         for _ in range(count):
-            senders.note("r", services)
-    return senders
+            origins.note("r", services)
+    return origins
 
 
 @pytest.mark.parametrize(
@@ -42,25 +47,25 @@
     front: int, back: int, share: float
 ) -> None:
     """The share follows from the requests per host with each service."""
-    senders = origins(front, back)
-    assert senders.call_share("r", "front") == pytest.approx(share)
+    origins = make_origins(front, back)
+    assert origins.call_share("r", "front") == pytest.approx(share)
 
 
 def test_no_request_counts_as_a_call_if_all_hosts_are_alike() -> None:
-    senders = attribution.Origins()
-    senders.hosts = {"front": 8}
-    senders.note("r", "front")
-    assert senders.call_share("r", "front") == 0.0
+    origins = attribution.Origins()
+    origins.hosts = {"front": 8}
+    origins.note("r", "front")
+    assert origins.call_share("r", "front") == 0.0
 
 
 def test_old_requests_lose_their_weight() -> None:
-    """Covers a route that only targets used until callers start to use it."""
-    senders = origins(attribution.MAX_COUNTED, 0)
+    """Callers start to use a route that only targets have used so far."""
+    origins = make_origins(attribution.MAX_COUNTED, 0)
     for _ in range(3 * attribution.MAX_COUNTED):
-        senders.note("r", "front")
-        senders.note("r", "front")
-        senders.note("r", "back")
-    assert senders.call_share("r", "front") == pytest.approx(0, abs=0.1)
+        origins.note("r", "front")
+        origins.note("r", "front")
+        origins.note("r", "back")
+    assert origins.call_share("r", "front") == pytest.approx(0, abs=0.1)
 
 
 def test_a_call_is_divided_among_the_runs_that_may_have_made_it() -> None:
@@ -74,7 +79,7 @@
 
 
 def test_routes_whose_runs_make_no_calls_are_learned() -> None:
-    """Runs of two routes overlap, and only those of one make a call each."""
+    """Runs of two routes overlap, and only those of one route make calls."""
     parents = attribution.Parents()
     for number in range(2000):
         calling, quiet = Run("calls"), Run("quiet")
