--- a/libs/requests/tests/test_fleet_budget.py
+++ b/libs/requests/tests/test_fleet_budget.py
@@ -7,7 +7,7 @@
 from trefoil_emulator import core_fleet
 from trefoil_emulator import troubled_fleet
 
-SLACK = 60
+SLACK_REPEATS = 60
 BROWSE = core_fleet.Kind("browse", 140, 120, 500, 3000, 1500, 2)
 CHARGE = core_fleet.Kind("charge", 60, 150, 600, 4000, 2000, 1)
 BOOK = core_fleet.Kind("book", 40, 80, 300, 2000, 1000)
@@ -18,38 +18,46 @@
 FAULT_SHARES = strategies.sampled_from([0.0, 0.1, 0.3, 0.5, 0.7])
 
 
-def fleet(seed: int = 1) -> troubled_fleet.TroubledFleet:
-    """Return six targets of a service whose runs mostly call another one."""
+def make_fleet(seed: int = 1) -> troubled_fleet.TroubledFleet:
+    """Return a fleet of two services.
+
+    Most browse runs, on the six targets of the front, make a call to the
+    back.
+    """
     return troubled_fleet.TroubledFleet(
         [
             troubled_fleet.Service(FRONT, 6, [BROWSE, CHARGE]),
             troubled_fleet.Service(BACK, 3, [BOOK, LOOK_UP], [CHECK]),
         ],
         {"browse": troubled_fleet.Calling(CHECK, BACK, 0.7)},
-        slack=SLACK,
+        slack=SLACK_REPEATS,
         seed=seed,
     )
 
 
 def services_over_budget(
-    fleet_run: troubled_fleet.TroubledFleet,
+    fleet: troubled_fleet.TroubledFleet,
 ) -> dict[str, str]:
     """Return the services whose repeats exceed the budget, and the excess."""
     return {
         name: str(excess)
-        for name, excess in fleet_run.worst().items()
+        for name, excess in fleet.worst().items()
         if excess.over > 0
     }
 
 
 def test_calls_of_repeated_runs_count_in_the_called_services_budget() -> None:
-    """Both ends of a chain refuse, and calls of repeats must be charged."""
-    fleet_run = fleet()
-    fleet_run.run(5000)
-    fleet_run.behaviour[FRONT].refusing = 0.45
-    fleet_run.behaviour[BACK].refusing = 0.55
-    fleet_run.run(12_000)
-    assert services_over_budget(fleet_run) == {}
+    """Both services of a chain of calls refuse requests.
+
+    Guards against repeats at the called service that no budget is charged
+    for, since the calls of repeated runs look like first requests there.
+    """
+    fleet = make_fleet()
+    fleet.run(5000)
+    fleet.behaviour[FRONT].refusing = 0.45
+    fleet.behaviour[BACK].refusing = 0.55
+    fleet.run(12_000)
+    assert services_over_budget(fleet) == {}
 
 
 class FleetFaults(stateful.RuleBasedStateMachine):
@@ -57,7 +65,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet = fleet()
+        self.fleet = make_fleet()
         self.fleet.run(2000)
 
     def host(self, number: int) -> str:
@@ -79,7 +87,7 @@
         )
 
     @stateful.rule(load=strategies.sampled_from([0.5, 1.0, 1.8]))
-    def callers_come(self, load: float) -> None:
+    def load_changes(self, load: float) -> None:
         """Change the number of callers."""
         self.fleet.load = load
 
