--- a/libs/daemon/src/trefoil_daemon/_fleet_process.py
+++ b/libs/daemon/src/trefoil_daemon/_fleet_process.py
@@ -25,21 +25,21 @@
     def __init__(
         self,
         node: nodes.Node,
-        carrier: facade.Carrier,
+        driver: facade.Driver,
         clock: clocks.Clock,
     ) -> None:
         self.node = node
-        self.carrier = carrier
+        self.driver = driver
         self.clock = clock
 
-    def carry(self, effect: typing.Any) -> None:
+    def execute(self, effect: typing.Any) -> None:
         """Carry out one effect; engines add their own kinds."""
-        carry(effect, self)
+        execute(effect, self)
 
     def perform(self, effects: list[typing.Any]) -> None:
         """Carry out effects in order; durable ones are synced first."""
         for effect in effects:
-            self.carry(effect)
+            self.execute(effect)
 
     def families(self) -> list[exposition.Family]:
         """Return the metrics that differ by labels; engines add theirs."""
@@ -76,36 +76,36 @@
 
 
 @functools.singledispatch
-def carry(effect: typing.Any, process: FleetProcess) -> None:
+def execute(effect: typing.Any, process: FleetProcess) -> None:
     """Carry out one effect."""
     raise TypeError(f"no such effect: {type(effect).__name__}")
 
 
-@carry.register
+@execute.register
 def _(effect: common.Send, process: FleetProcess) -> None:
-    process.carrier.link_send(effect.to, effect.message)
+    process.driver.link_send(effect.to, effect.message)
 
 
-@carry.register
+@execute.register
 def _(effect: common.Note, process: FleetProcess) -> None:
-    process.carrier.note(effect)
+    process.driver.note(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: common.Count, process: FleetProcess) -> None:
-    process.carrier.count(effect)
+    process.driver.count(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.Dial, process: FleetProcess) -> None:
-    process.carrier.dial(effect.host, effect.address)
+    process.driver.dial(effect.host, effect.address)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.Disconnect, process: FleetProcess) -> None:
-    process.carrier.hang_up(effect.host)
+    process.driver.close_link(effect.host)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.Probe, process: FleetProcess) -> None:
-    process.carrier.probe(effect.host, effect.address)
+    process.driver.probe(effect.host, effect.address)
--- a/libs/daemon/src/trefoil_daemon/announcements.py
+++ b/libs/daemon/src/trefoil_daemon/announcements.py
@@ -18,7 +18,7 @@
 MAX_FAREWELLS = 256
 MAX_RESOURCES = 256
 # An announcement that was held up on its way comes within seconds.
-STRAY_MS = 15_000
+MAX_ANNOUNCEMENT_DELAY_MS = 15_000
 
 
 @dataclasses.dataclass(slots=True)
@@ -144,7 +144,7 @@
         name = announcement.record.name
         if name not in self.by_name and len(self.by_name) >= MAX_TARGETS:
             raise errors.ProtocolError(429, "too many targets on this host")
-        if self.is_late(announcement, now_ms):
+        if self.is_stale(announcement, now_ms):
             return False
         old = self.by_name.get(name)
         self.by_name[name] = announcement
@@ -156,7 +156,7 @@
             announcement.port,
         )
 
-    def is_late(self, announcement: Announcement, now_ms: int) -> bool:
+    def is_stale(self, announcement: Announcement, now_ms: int) -> bool:
         """Tell whether an announcement was overtaken on its way.
 
         A word that was held up may arrive after its sender has said
@@ -186,7 +186,7 @@
             and other.incarnation < announcement.incarnation
         ]
 
-    def take_farewell(
+    def deregister(
         self, name: str, incarnation: int, now_ms: int, wall_ms: int
     ) -> bool:
         """Note that a target leaves for good; False if it is too late.
@@ -213,7 +213,7 @@
         if ended:
             farewell = Farewell(ended)
         else:
-            farewell = Farewell(wall_ms, now_ms + STRAY_MS)
+            farewell = Farewell(wall_ms, now_ms + MAX_ANNOUNCEMENT_DELAY_MS)
         earlier = self.farewells.get(name)
         if earlier is None or earlier.until_ms or earlier.ended < ended:
             self.farewells[name] = farewell
--- a/libs/daemon/src/trefoil_daemon/control.py
+++ b/libs/daemon/src/trefoil_daemon/control.py
@@ -26,7 +26,7 @@
         self.engine = control_process.ControlProcess(
             settings,
             peers_address=settings.advertise or f"{host}:{port}",
-            carrier=self,
+            driver=self,
             clock=clock,
             rng=random.Random(),
             disk=disks.FolderDisk(settings.data_folder),
--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -44,7 +44,7 @@
 LED_MS = 1000
 # Hosts that start together are voters within a second and a half; one that is
 # not there by then may be down, and the others take the configuration.
-FOUNDING_MS = 3000
+FOUNDING_TIMEOUT_MS = 3000
 EVACUATE_CODE = frames.CODES[messages.EvacuateDomain]
 
 
@@ -72,7 +72,7 @@
         settings: setting_store.ControlSettings,
         *,
         peers_address: str,
-        carrier: facade.Carrier,
+        driver: facade.Driver,
         clock: clocks.Clock,
         rng: random.Random,
         disk: disks.Disk,
@@ -83,10 +83,12 @@
         self.started_ms = now_ms
         if settings.found and settings.host in settings.founders:
             if disk.read(stores.HARD_STATE_FILE) is None:
-                identities.found_store(disk, settings.host, settings.founders)
+                identities.create_founder_store(
+                    disk, settings.host, settings.founders
+                )
         self.disk = disk
         self.durability = durability.Durability()
-        self._open_agreement(carrier, now_ms)
+        self._open_agreement(driver, now_ms)
         record = messages.HostRecord(
             host=settings.host,
             domain=settings.domain,
@@ -105,7 +107,7 @@
             now_ms=now_ms,
             rng=rng,
         )
-        super().__init__(node, carrier, clock)
+        super().__init__(node, driver, clock)
         self.node.config.publish(self.state.items.copy(), now_ms)
         self.quarantine = quarantines.Quarantine()
         self.moves = leading_moves.LeadingMoves(
@@ -120,17 +122,17 @@
         self.join_at_ms = now_ms
         self.asked: dict[str, str] = {}
         self.listed_index = 0
-        self.floors = floor_words.FloorWords(self)
+        self.floors = floor_words.FloorConfirmations(self)
         self.unpublished = False
 
-    def _open_agreement(self, carrier: facade.Carrier, now_ms: int) -> None:
+    def _open_agreement(self, driver: facade.Driver, now_ms: int) -> None:
         """Take the agreement up from what the disk holds."""
         settings = self.settings
         self.store, why_new = identities.open_store(
             self.disk, settings.host, self.rng
         )
         if why_new:
-            carrier.note(
+            driver.note(
                 common.Note("store.new_identity", {"why": why_new}, "warning")
             )
         self.state = states.State()
@@ -169,9 +171,9 @@
             "disk_refuses": float(self.durability.failed),
         }
 
-    def carry(self, effect: typing.Any) -> None:
+    def execute(self, effect: typing.Any) -> None:
         """Carry out one effect."""
-        carry(effect, self)
+        execute(effect, self)
 
     def perform(self, effects: list[typing.Any]) -> None:
         """Carry out effects in order, up to a write that the disk refuses.
@@ -182,7 +184,7 @@
         refusals = self.durability.refusals
         for effect in effects:
             try:
-                self.carry(effect)
+                self.execute(effect)
             except errors.DiskRefused as error:
                 self._suspend(str(error))
             if self.durability.refusals != refusals:
@@ -208,17 +210,17 @@
             case messages.CommandRequest():
                 self.submit(
                     message.command,
-                    lambda reply: self.carrier.reply(origin, reply),
+                    lambda reply: self.driver.reply(origin, reply),
                 )
             case messages.Query():
                 self.ask(
-                    message, lambda reply: self.carrier.reply(origin, reply)
+                    message, lambda reply: self.driver.reply(origin, reply)
                 )
 
     def requests_lost(self, unsent: list[int], lost: list[int]) -> None:
         """Ignore: a control process sends no requests."""
 
-    def peer_doubted(self, host: str, doubted: bool) -> None:
+    def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
         """Ignore: a control process sends no requests."""
 
     def origin_lost(self, origin: str) -> None:
@@ -285,7 +287,7 @@
         leader = rafts.process_name(self.raft.leader)
         if leader and leader in self.node.links:
             self.asked[command.command_id] = leader
-            self.carrier.link_send(
+            self.driver.link_send(
                 leader, messages.CommandRequest(command, hops + 1)
             )
 
@@ -338,7 +340,7 @@
             return False
         if len(self.raft.voters) >= self.raft.min_voters:
             return False
-        return self.clock.now_ms() < self.started_ms + FOUNDING_MS
+        return self.clock.now_ms() < self.started_ms + FOUNDING_TIMEOUT_MS
 
     def _propose_once(self, command: messages.Command) -> None:
         if self._is_founding():
@@ -351,7 +353,7 @@
     def _wait_for(
         self, command: messages.Command, reply: operators.OnReply
     ) -> bool:
-        until_ms = self.clock.now_ms() + operators.PENDING_MS
+        until_ms = self.clock.now_ms() + operators.COMMAND_TIMEOUT_MS
         waits = self.commands.add(command.command_id, command, reply, until_ms)
         if not waits:
             why = "too many commands wait"
@@ -394,7 +396,7 @@
 
     def ask(self, query: messages.Query, reply: operators.OnReply) -> None:
         """Take an operator's query."""
-        until_ms = self.clock.now_ms() + operators.QUERY_MS
+        until_ms = self.clock.now_ms() + operators.QUERY_TIMEOUT_MS
         if self.queries.add(query.query_id, query, reply, until_ms):
             self._route_query(query)
 
@@ -418,7 +420,7 @@
             onward = messages.Query(
                 query_id, query.line, hops + 1, query.kind, subject
             )
-            self.carrier.link_send(leader, onward)
+            self.driver.link_send(leader, onward)
 
     def read(
         self,
@@ -442,7 +444,7 @@
             return messages.QueryReply(query.query_id, False, problem)
         if self._asker_holds_document(query):
             return messages.QueryReply(query.query_id, True, "", confirmed)
-        knowledge = queries.Knowledge(
+        knowledge = queries.QueryContext(
             self.state, self.node, self.raft, self.clock.now_ms()
         )
         body = queries.render(statement, knowledge, confirmed=confirmed)
@@ -491,7 +493,7 @@
     ) -> None:
         names = messages.Outcome._VALUES_TO_NAMES
         kind = frames.TYPES[command.kind].__name__
-        self.carrier.note(
+        self.driver.note(
             common.Note(
                 "command.agreed",
                 {
@@ -560,7 +562,7 @@
         told that no leader is heard here and look for another.
         """
         now_ms = self.clock.now_ms()
-        self.carrier.note(common.Note("store.failed", {"why": why}, "error"))
+        self.driver.note(common.Note("store.failed", {"why": why}, "error"))
         self.durability.refused(now_ms)
         self.raft.retire()
         for found in list(self.reads.values()):
@@ -572,7 +574,7 @@
     def _try_disk(self, now_ms: int) -> None:
         """Go on from what the disk holds if it takes writes again."""
         try:
-            self._open_agreement(self.carrier, now_ms)
+            self._open_agreement(self.driver, now_ms)
             self.store.save_hard_state(self.store.hard_state)
         except OSError:
             # Logged when it began; each try would only repeat that.
@@ -581,7 +583,7 @@
             return
         self.durability.works()
         self.listed_index = 0
-        self.carrier.note(
+        self.driver.note(
             common.Note("store.works_again", {"identity": self.raft.identity})
         )
 
@@ -641,7 +643,7 @@
             address=self.node.members.record.address,
         )
         for name in self.node.overlay.controls:
-            self.carrier.link_send(name, request)
+            self.driver.link_send(name, request)
 
 
 def statement_of(query: messages.Query) -> tuple[typing.Any, str]:
@@ -667,38 +669,38 @@
 
 
 @functools.singledispatch
-def carry(effect: typing.Any, process: ControlProcess) -> None:
+def execute(effect: typing.Any, process: ControlProcess) -> None:
     """Carry out one effect."""
-    _fleet_process.carry(effect, process)
+    _fleet_process.execute(effect, process)
 
 
-@carry.register
+@execute.register
 def _(effect: common.Send, process: ControlProcess) -> None:
-    process.carrier.link_send(rafts.process_name(effect.to), effect.message)
+    process.driver.link_send(rafts.process_name(effect.to), effect.message)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.PutInForce, process: ControlProcess) -> None:
     pass
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.RecordsChanged, process: ControlProcess) -> None:
     pass
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.AskFloor, process: ControlProcess) -> None:
     process.floors.ask(effect.nonce)
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.SaveHardState, process: ControlProcess) -> None:
     with process.durability.write():
         process.store.save_hard_state(effect.state)
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.AppendLog, process: ControlProcess) -> None:
     with process.durability.write():
         if effect.truncate_from:
@@ -706,30 +708,30 @@
         process.store.append(effect.entries)
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.SaveSnapshot, process: ControlProcess) -> None:
     with process.durability.write():
         process.store.save_snapshot(effect.snapshot)
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.Restore, process: ControlProcess) -> None:
     process.restore(effect.snapshot)
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.Apply, process: ControlProcess) -> None:
     process.apply(effect.entry)
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.ReadReady, process: ControlProcess) -> None:
     found = process.reads.pop(effect.read_id, None)
     if found is not None:
         found[0]()
 
 
-@carry.register
+@execute.register
 def _(effect: quorum_effects.ReadFailed, process: ControlProcess) -> None:
     found = process.reads.pop(effect.read_id, None)
     if found is not None:
@@ -777,7 +779,7 @@
 ) -> None:
     process.submit(
         message.command,
-        lambda reply: process.carrier.link_send(host, reply),
+        lambda reply: process.driver.link_send(host, reply),
         message.hops or 0,
     )
 
@@ -791,7 +793,7 @@
 
 @receive.register
 def _(message: messages.Query, process: ControlProcess, host: str) -> None:
-    process.ask(message, lambda reply: process.carrier.link_send(host, reply))
+    process.ask(message, lambda reply: process.driver.link_send(host, reply))
 
 
 @receive.register
@@ -815,4 +817,4 @@
     if process.quarantine.receive(message, process.clock.now_ms()):
         for peer in process.node.links:
             if peer != host:
-                process.carrier.link_send(peer, message)
+                process.driver.link_send(peer, message)
--- a/libs/daemon/src/trefoil_daemon/exposition.py
+++ b/libs/daemon/src/trefoil_daemon/exposition.py
@@ -63,18 +63,18 @@
         engine: Tells what is true now.
     """
 
-    __slots__ = ("metrics", "bytes_out", "far_bytes_out", "engine")
+    __slots__ = ("metrics", "bytes_out", "cross_domain_bytes_out", "engine")
 
     def __init__(
         self,
         metrics: metric_store.Metrics,
         bytes_out: dict[str, int],
-        far_bytes_out: dict[str, int],
+        cross_domain_bytes_out: dict[str, int],
         engine: Engine,
     ) -> None:
         self.metrics = metrics
         self.bytes_out = bytes_out
-        self.far_bytes_out = far_bytes_out
+        self.cross_domain_bytes_out = cross_domain_bytes_out
         self.engine = engine
 
     def get(self, connection: http_server.ServerConnection) -> None:
@@ -108,7 +108,7 @@
             core,
             "far_bytes",
             "Bytes sent to peers in other failure domains",
-            self.far_bytes_out,
+            self.cross_domain_bytes_out,
         )
         for name, value in sorted(self.engine.gauges().items()):
             yield core.GaugeMetricFamily(f"{PREFIX}_{name}", name, value)
--- a/libs/daemon/src/trefoil_daemon/facade.py
+++ b/libs/daemon/src/trefoil_daemon/facade.py
@@ -13,7 +13,7 @@
 from trefoil_wire import messages
 
 
-class Carrier(typing.Protocol):
+class Driver(typing.Protocol):
     """What a process engine needs carried."""
 
     def link_send(self, host: str, message: typing.Any) -> None:
@@ -22,13 +22,15 @@
     def dial(self, host: str, address: str) -> None:
         """Open a subscribed link."""
 
-    def hang_up(self, host: str) -> None:
+    def close_link(self, host: str) -> None:
         """Close a subscribed link."""
 
     def probe(self, host: str, address: str) -> None:
         """Connect to a peer once and call the engine's ``on_probe_result``."""
 
-    def tell(self, host: str, address: str, message: typing.Any) -> bool:
+    def request_send(
+        self, host: str, address: str, message: typing.Any
+    ) -> bool:
         """Send on a request link; False if the peer can't be reached."""
 
     def reply(self, origin: str, message: typing.Any) -> None:
--- a/libs/daemon/src/trefoil_daemon/floor_words.py
+++ b/libs/daemon/src/trefoil_daemon/floor_words.py
@@ -14,7 +14,7 @@
 MOST = 1 << 30
 
 
-class FloorWords:
+class FloorConfirmations:
     """Answers the questions that the fleet core passes on.
 
     Args:
@@ -62,7 +62,7 @@
                 lambda: self._keep(nonce),
             )
         elif leader in process.node.links:
-            process.carrier.link_send(
+            process.driver.link_send(
                 leader, messages.FloorQuery(nonce, process.settings.host)
             )
         else:
--- a/libs/daemon/src/trefoil_daemon/hub.py
+++ b/libs/daemon/src/trefoil_daemon/hub.py
@@ -62,7 +62,7 @@
     def requests_lost(self, unsent: list[int], lost: list[int]) -> None:
         """Note the requests that a broken request link carried."""
 
-    def peer_doubted(self, host: str, doubted: bool) -> None:
+    def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
         """Note a peer that does not answer, or answers again."""
 
     def origin_lost(self, connection: "Connection") -> None:
@@ -90,7 +90,7 @@
     pinged_ms: int = 0
     answered: bool = False
     used_ms: int = 0
-    doubted: bool = False
+    unresponsive: bool = False
 
     @property
     def name(self) -> str:
@@ -116,7 +116,7 @@
         "connections",
         "numbers",
         "bytes_out",
-        "far_bytes_out",
+        "cross_domain_bytes_out",
         "bytes_in",
         "probes",
     )
@@ -135,7 +135,7 @@
         self.connections: set[Connection] = set()
         self.numbers = itertools.count(1)
         self.bytes_out: dict[str, int] = {}
-        self.far_bytes_out: dict[str, int] = {}
+        self.cross_domain_bytes_out: dict[str, int] = {}
         self.bytes_in: dict[str, int] = {}
         self.probes: dict[transports.Stream, typing.Any] = {}
 
@@ -151,7 +151,9 @@
         if connection is not None:
             self._write(connection, message)
 
-    def tell(self, host: str, address: str, message: typing.Any) -> bool:
+    def request_send(
+        self, host: str, address: str, message: typing.Any
+    ) -> bool:
         """Send on a request link, opening it if need be.
 
         Returns:
@@ -181,8 +183,8 @@
         name = type(message).__name__
         self.bytes_out[name] = self.bytes_out.get(name, 0) + len(data)
         if self.owner.is_cross_domain(connection.host):
-            far = self.far_bytes_out.get(name, 0)
-            self.far_bytes_out[name] = far + len(data)
+            far = self.cross_domain_bytes_out.get(name, 0)
+            self.cross_domain_bytes_out[name] = far + len(data)
         connection.stream.write(data)
 
     def owes(self) -> bool:
@@ -200,7 +202,7 @@
         if host not in self.links:
             self._dial(host, address, subscribe=True)
 
-    def hang_up(self, host: str) -> None:
+    def close_link(self, host: str) -> None:
         """Close the subscribed link to a peer."""
         connection = self.links.get(host)
         if connection is not None:
@@ -435,10 +437,10 @@
             connection.pinged_ms = now_ms
             self._write(connection, messages.Ping(connection.number))
 
-    def _doubt(self, connection: Connection, doubted: bool) -> None:
-        if connection.doubted != doubted:
-            connection.doubted = doubted
-            self.owner.peer_doubted(connection.host, doubted)
+    def _doubt(self, connection: Connection, unresponsive: bool) -> None:
+        if connection.unresponsive != unresponsive:
+            connection.unresponsive = unresponsive
+            self.owner.set_peer_unresponsive(connection.host, unresponsive)
 
 
 def _note_sent(connection: Connection, message: typing.Any) -> None:
--- a/libs/daemon/src/trefoil_daemon/identities.py
+++ b/libs/daemon/src/trefoil_daemon/identities.py
@@ -22,7 +22,9 @@
     return f"{name}#{FIRST}"
 
 
-def found_store(disk: disks.Disk, name: str, founders: list[str]) -> None:
+def create_founder_store(
+    disk: disks.Disk, name: str, founders: list[str]
+) -> None:
     """Prepare a founder's data folder for its first life.
 
     Every founder writes the same first entry, which names them all as the
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -92,7 +92,7 @@
         self.proposed[service] = self.process.propose_own(
             messages.AdoptVersion(service_name=service, version=version)
         )
-        self.process.carrier.note(
+        self.process.driver.note(
             common.Note(
                 "version.adopted",
                 {"service": service, "version": version, "slots": slots},
@@ -114,7 +114,7 @@
         if body is None:
             return
         self.proposed[move.move_id] = self.process.propose_own(body)
-        self.process.carrier.note(
+        self.process.driver.note(
             common.Note(
                 "move.decided",
                 {
@@ -166,7 +166,7 @@
             return
         leader = rafts.process_name(self.process.raft.leader)
         if leader != source:
-            self.process.carrier.link_send(leader, report)
+            self.process.driver.link_send(leader, report)
 
 
 def _body_of(
--- a/libs/daemon/src/trefoil_daemon/operators.py
+++ b/libs/daemon/src/trefoil_daemon/operators.py
@@ -13,9 +13,9 @@
 from trefoil_wire import frames
 from trefoil_wire import messages
 
-PENDING_MS = 2500
-COME_BACK_MS = 500
-QUERY_MS = 1500
+COMMAND_TIMEOUT_MS = 2500
+RETRY_AFTER_MS = 500
+QUERY_TIMEOUT_MS = 1500
 MAX_WAITING = 1024
 
 OnReply = collections.abc.Callable[[typing.Any], None]
@@ -75,7 +75,7 @@
         outcome=messages.Outcome.PENDING,
         reason=why,
         revision=0,
-        retry_after_ms=COME_BACK_MS,
+        retry_after_ms=RETRY_AFTER_MS,
     )
 
 
--- a/libs/daemon/src/trefoil_daemon/proxy.py
+++ b/libs/daemon/src/trefoil_daemon/proxy.py
@@ -37,7 +37,7 @@
         self.engine = proxy_process.ProxyProcess(
             settings,
             peers_address=settings.advertise or f"{host}:{port}",
-            carrier=self,
+            driver=self,
             clock=clock,
             rng=random.Random(),
             not_run_header=self.dialect.not_run,
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -68,7 +68,7 @@
         settings: setting_store.ProxySettings,
         *,
         peers_address: str,
-        carrier: facade.Carrier,
+        driver: facade.Driver,
         clock: clocks.Clock,
         rng: random.Random,
         not_run_header: bytes = target_side.NOT_RUN_HEADER,
@@ -94,7 +94,7 @@
             now_ms=now_ms,
             rng=rng,
         )
-        super().__init__(node, carrier, clock)
+        super().__init__(node, driver, clock)
         self.quarantine = quarantines.Quarantine()
         self.ledger = ledgers.Ledger(
             settings.host, incarnation, now_ms, clock.wall_ms()
@@ -122,13 +122,13 @@
         self.busy_origins: dict[str, set[int]] = {}
         self.records_dirty = False
         self.spending = spendings.SpendingLog()
-        self.relay = relays.Relay(settings.known_controls, carrier.tell)
+        self.relay = relays.Relay(settings.known_controls, driver.request_send)
 
     # Carrying out effects
 
-    def carry(self, effect: typing.Any) -> None:
+    def execute(self, effect: typing.Any) -> None:
         """Carry out one effect."""
-        carry(effect, self)
+        execute(effect, self)
 
     def now_us(self) -> int:
         """Return the time in microseconds."""
@@ -149,8 +149,8 @@
         self._follow_evacuation(table)
         self._update_collectors(table)
         if table.limits is not None:
-            self.carrier.limit_callers(table.limits)
-        self.carrier.note(
+            self.driver.limit_callers(table.limits)
+        self.driver.note(
             common.Note("config.in_force", {"revision": items.revision})
         )
         self.perform(
@@ -175,7 +175,7 @@
         if evacuated == self.targets.evacuated:
             return
         event = "evacuation.begun" if evacuated else "evacuation.ended"
-        self.carrier.note(
+        self.driver.note(
             common.Note(
                 event,
                 {
@@ -258,7 +258,7 @@
                 effect.route, effect.version, effect.domain
             )
             collector.observe(key, effect.run_us, effect.failed, effect.cold)
-        self.carrier.observe(effect)
+        self.driver.observe(effect)
 
     def _guard(self, now_ms: int) -> None:
         """Stop sending to a version on this proxy's own evidence.
@@ -279,7 +279,7 @@
             self.entry.placement.halted[service] = frozenset(
                 (comparison.new_version,)
             )
-            self.carrier.note(
+            self.driver.note(
                 common.Note(
                     "version.halted",
                     {
@@ -299,7 +299,7 @@
         for collector in self.collectors.values():
             report = collector.report(now_ms, hosts)
             if report is not None:
-                self.carrier.link_send(report_peer, report)
+                self.driver.link_send(report_peer, report)
 
     # Links
 
@@ -322,14 +322,14 @@
     def _flood(self, notice: messages.CrashNotice, source: str) -> None:
         for host in self.node.links:
             if host != source:
-                self.carrier.link_send(host, notice)
+                self.driver.link_send(host, notice)
 
     def _pass_evidence(
         self, source: str, report: messages.EvidenceReport
     ) -> None:
         uplink = self.node.overlay.uplink
         if uplink != source:
-            self.carrier.link_send(uplink, report)
+            self.driver.link_send(uplink, report)
 
     # Request links
 
@@ -345,11 +345,11 @@
         for request_id in lost:
             self.perform(self.entry.on_lost(request_id, now_ms, now_us))
 
-    def peer_doubted(self, host: str, doubted: bool) -> None:
+    def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
         """Note a peer that does not answer, or answers again."""
         now_ms, now_us = self.clock.now_ms(), self.now_us()
         self.perform(
-            self.entry.set_unresponsive(host, doubted, now_ms, now_us)
+            self.entry.set_unresponsive(host, unresponsive, now_ms, now_us)
         )
 
     def origin_lost(self, origin: str) -> None:
@@ -368,10 +368,12 @@
                 )
             )
             return
-        if not self.carrier.tell(effect.host, effect.address, request):
+        if not self.driver.request_send(effect.host, effect.address, request):
             self.requests_lost([request.request_id], [])
 
-    def tell(self, host: str, address: str, message: typing.Any) -> None:
+    def request_send(
+        self, host: str, address: str, message: typing.Any
+    ) -> None:
         """Send to a peer's request link, or to this process itself."""
         if host == self.settings.host:
             receive(message, self, target_side.LOCAL)
@@ -379,7 +381,7 @@
         record = self.node.members.records.get(host)
         if not address and record is not None:
             address = record.address
-        self.carrier.tell(host, address, message)
+        self.driver.request_send(host, address, message)
 
     def reply(self, origin: str, message: typing.Any) -> None:
         """Answer the origin of a message."""
@@ -390,7 +392,7 @@
         if origin == target_side.LOCAL:
             receive(message, self, target_side.LOCAL)
         else:
-            self.carrier.reply(origin, message)
+            self.driver.reply(origin, message)
 
     # Callers
 
@@ -411,7 +413,7 @@
         now_ms = self.clock.now_ms()
         for name in self.announced.replaced_by(announcement):
             self.target_leaves(name, "another started at its port")
-        if self.announced.is_late(announcement, now_ms):
+        if self.announced.is_stale(announcement, now_ms):
             return
         news = self.announced.put(announcement, now_ms)
         given_back = self.targets.put_target(
@@ -422,7 +424,7 @@
         )
         if news:
             self._publish_targets(now_ms)
-            self.carrier.note(
+            self.driver.note(
                 common.Note(
                     "target.announced",
                     {
@@ -441,7 +443,7 @@
         Returns:
             False if the word is late: the target has started again.
         """
-        taken = self.announced.take_farewell(
+        taken = self.announced.deregister(
             name, incarnation, self.clock.now_ms(), self.clock.wall_ms()
         )
         if not taken:
@@ -456,7 +458,7 @@
             return False
         self._publish_targets(now_ms)
         self.perform(self.targets.remove_target(name, now_ms))
-        self.carrier.note(
+        self.driver.note(
             common.Note("target.left", {"target": name, "why": why})
         )
         return True
@@ -530,7 +532,7 @@
             self.settings.host, self.node.members.record.incarnation
         )
         for host in self.ledger.tick(now_ms, self.node.ready):
-            self.tell(host, "", pull)
+            self.request_send(host, "", pull)
         self._guard(now_ms)
         self._report(now_ms)
         self._tell_of_targets(now_ms)
@@ -589,7 +591,7 @@
         if self.leaving_since_ms:
             return
         self.leaving_since_ms = self.clock.now_ms()
-        self.carrier.note(
+        self.driver.note(
             common.Note(
                 "proxy.leaving",
                 {
@@ -650,83 +652,83 @@
 
 
 @functools.singledispatch
-def carry(effect: typing.Any, process: ProxyProcess) -> None:
+def execute(effect: typing.Any, process: ProxyProcess) -> None:
     """Carry out one effect."""
-    _fleet_process.carry(effect, process)
+    _fleet_process.execute(effect, process)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.PutInForce, process: ProxyProcess) -> None:
     process.put_in_force(effect.items)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.RecordsChanged, process: ProxyProcess) -> None:
     # Routing looks again at the next tick: a herd's return would else
     # rebuild the endpoints for every single record.
     process.records_dirty = True
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Finish, process: ProxyProcess) -> None:
-    process.carrier.finish(effect.final)
+    process.driver.finish(effect.final)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Forward, process: ProxyProcess) -> None:
     process.forward(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Send, process: ProxyProcess) -> None:
-    process.tell(effect.host, effect.address, effect.message)
+    process.request_send(effect.host, effect.address, effect.message)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Dispatch, process: ProxyProcess) -> None:
-    process.carrier.dispatch(effect)
+    process.driver.dispatch(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.CheckTarget, process: ProxyProcess) -> None:
-    process.carrier.check_target(effect)
+    process.driver.check_target(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.CheckWarmup, process: ProxyProcess) -> None:
     table = process.entry.placement.table
     service = table.services.get(effect.service) if table else None
     if service is not None and service.health_path:
-        process.carrier.check_warmup(effect, service.health_path)
+        process.driver.check_warmup(effect, service.health_path)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Abort, process: ProxyProcess) -> None:
-    process.carrier.abort(effect.dispatch_id)
+    process.driver.abort(effect.dispatch_id)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Reply, process: ProxyProcess) -> None:
     process.reply(effect.origin, effect.answer)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.RepeatArrived, process: ProxyProcess) -> None:
     process.reply(effect.origin, messages.RepeatArrived(effect.request_id))
 
 
-@carry.register
+@execute.register
 def _(effect: bodies.ChunkRequest, process: ProxyProcess) -> None:
     process.reply(effect.origin, effect.pull)
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.BroadcastNotice, process: ProxyProcess) -> None:
     process.quarantine.receive(effect.notice, process.clock.now_ms())
     process._flood(effect.notice, "")
 
 
-@carry.register
+@execute.register
 def _(effect: request_effects.Observe, process: ProxyProcess) -> None:
     process.observe(effect)
 
--- a/libs/daemon/src/trefoil_daemon/queries.py
+++ b/libs/daemon/src/trefoil_daemon/queries.py
@@ -15,7 +15,7 @@
 Row = dict[str, typing.Any]
 
 
-class Knowledge:
+class QueryContext:
     """What a query is answered from.
 
     Args:
@@ -41,7 +41,7 @@
 
 
 def render(
-    statement: typing.Any, knowledge: Knowledge, *, confirmed: bool
+    statement: typing.Any, knowledge: QueryContext, *, confirmed: bool
 ) -> str:
     """Return the answer to a query as JSON.
 
@@ -60,13 +60,13 @@
 
 
 @functools.singledispatch
-def answer(statement: typing.Any, known: Knowledge) -> list[Row]:
+def answer(statement: typing.Any, known: QueryContext) -> list[Row]:
     """Return the rows that answer a statement."""
     return [{"problem": f"{type(statement).__name__} is not a query here"}]
 
 
 @answer.register
-def _(statement: statements.InForce, known: Knowledge) -> list[Row]:
+def _(statement: statements.InForce, known: QueryContext) -> list[Row]:
     hosts = [
         _host_row(record, known)
         for record in known.node.members.records.present()
@@ -81,7 +81,7 @@
     return _rows_by_domain(hosts, known)
 
 
-def _host_row(record: messages.HostRecord, known: Knowledge) -> Row:
+def _host_row(record: messages.HostRecord, known: QueryContext) -> Row:
     heard = known.node.reports.by_host.get(record.host)
     row: Row = {
         "host": record.host,
@@ -98,7 +98,7 @@
     return row
 
 
-def _rows_by_domain(hosts: list[Row], known: Knowledge) -> list[Row]:
+def _rows_by_domain(hosts: list[Row], known: QueryContext) -> list[Row]:
     domains = sorted({row["domain"] for row in hosts})
     return [
         {"domain": domain}
@@ -107,7 +107,7 @@
     ]
 
 
-def _rows_by_service(hosts: list[Row], known: Knowledge) -> list[Row]:
+def _rows_by_service(hosts: list[Row], known: QueryContext) -> list[Row]:
     by_host = {row["host"]: row for row in hosts}
     services: dict[str, set[str]] = {}
     for record in known.node.members.records.present():
@@ -120,7 +120,7 @@
     ]
 
 
-def _summary(rows: list[Row], known: Knowledge) -> Row:
+def _summary(rows: list[Row], known: QueryContext) -> Row:
     newest = known.state.items.revision
     ages = [row["age_s"] for row in rows if row["age_s"] is not None]
     unheard = [row["host"] for row in rows if row["revision"] is None]
@@ -140,7 +140,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowDocument, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowDocument, known: QueryContext) -> list[Row]:
     document = known.state.document
     if document is None:
         return []
@@ -154,12 +154,14 @@
 
 
 @answer.register
-def _(statement: statements.ShowEvacuations, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowEvacuations, known: QueryContext) -> list[Row]:
     found = known.state.items.all(item_store.EVACUATION)
     return [_evacuation_row(evacuation, known) for evacuation in found]
 
 
-def _evacuation_row(evacuation: messages.Evacuation, known: Knowledge) -> Row:
+def _evacuation_row(
+    evacuation: messages.Evacuation, known: QueryContext
+) -> Row:
     """Return an evacuation, and how many hosts do not follow it yet."""
     domain = evacuation.domain
     revision = known.state.items.revision_of(item_store.EVACUATION + domain)
@@ -188,7 +190,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowMoves, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowMoves, known: QueryContext) -> list[Row]:
     return [
         _move_row(move, known)
         for move in known.state.moves.values()
@@ -196,7 +198,7 @@
     ]
 
 
-def _move_row(move: messages.MoveRecord, known: Knowledge) -> Row:
+def _move_row(move: messages.MoveRecord, known: QueryContext) -> Row:
     names = messages.Outcome._VALUES_TO_NAMES
     outcome = names.get(move.outcome, "running")
     left_ms = move.deadline_ms - known.state.clock_ms
@@ -213,7 +215,7 @@
     }
 
 
-def _newest(service: str, known: Knowledge) -> messages.MoveRecord | None:
+def _newest(service: str, known: QueryContext) -> messages.MoveRecord | None:
     moves = [
         move
         for move in known.state.moves.values()
@@ -223,7 +225,7 @@
 
 
 @answer.register
-def _(statement: statements.MoveDone, known: Knowledge) -> list[Row]:
+def _(statement: statements.MoveDone, known: QueryContext) -> list[Row]:
     move = _newest(statement.service, known)
     if move is None:
         return [{"problem": f"no move of {statement.service} is known"}]
@@ -237,7 +239,7 @@
 
 
 @answer.register
-def _(statement: statements.Explain, known: Knowledge) -> list[Row]:
+def _(statement: statements.Explain, known: QueryContext) -> list[Row]:
     move = _newest(statement.service, known)
     if move is None:
         return [{"problem": f"no move of {statement.service} is known"}]
@@ -245,7 +247,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowTargets, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowTargets, known: QueryContext) -> list[Row]:
     states_of = messages.TargetState._VALUES_TO_NAMES
     rows = []
     for record in known.node.members.records.present():
@@ -267,7 +269,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowRoutes, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowRoutes, known: QueryContext) -> list[Row]:
     return [
         {
             "route": route.name,
@@ -285,7 +287,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowServices, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowServices, known: QueryContext) -> list[Row]:
     return [
         {
             "service": shares.service_name,
@@ -300,7 +302,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowControls, known: Knowledge) -> list[Row]:
+def _(statement: statements.ShowControls, known: QueryContext) -> list[Row]:
     raft = known.raft
     rows = []
     for identity in raft.voters + raft.learners:
--- a/libs/daemon/src/trefoil_daemon/relay.py
+++ b/libs/daemon/src/trefoil_daemon/relay.py
@@ -36,7 +36,9 @@
         now_ms: int,
     ) -> None:
         """Pass a command on."""
-        until_ms = now_ms + operators.PENDING_MS + operators.COME_BACK_MS
+        until_ms = (
+            now_ms + operators.COMMAND_TIMEOUT_MS + operators.RETRY_AFTER_MS
+        )
         request = messages.CommandRequest(command, 0)
         if self.commands.add(command.command_id, request, reply, until_ms):
             self._send(request)
@@ -45,7 +47,9 @@
         self, query: messages.Query, reply: operators.OnReply, now_ms: int
     ) -> None:
         """Pass a query on."""
-        until_ms = now_ms + operators.QUERY_MS + operators.COME_BACK_MS
+        until_ms = (
+            now_ms + operators.QUERY_TIMEOUT_MS + operators.RETRY_AFTER_MS
+        )
         if self.queries.add(query.query_id, query, reply, until_ms):
             self._send(query)
 
--- a/libs/daemon/src/trefoil_daemon/reload.py
+++ b/libs/daemon/src/trefoil_daemon/reload.py
@@ -28,7 +28,7 @@
         self.poll_at_ms = 0
         self.wanted = False
 
-    def hasten(self) -> None:
+    def request_reload(self) -> None:
         """Read the file at the next poll, changed or not."""
         self.wanted = True
 
--- a/libs/daemon/src/trefoil_daemon/runtime.py
+++ b/libs/daemon/src/trefoil_daemon/runtime.py
@@ -130,7 +130,7 @@
             exposition.Exposition(
                 self.metrics,
                 self.hub.bytes_out,
-                self.hub.far_bytes_out,
+                self.hub.cross_domain_bytes_out,
                 self.engine,
             ),
             self.system_clock,
@@ -143,7 +143,7 @@
     def watch_settings(self, reloader: "reload.Reloader") -> None:
         """Take changed settings from now on, on SIGHUP and by themselves."""
         self.reloader = reloader
-        signals.signal(signals.SIGHUP, lambda *_: reloader.hasten())
+        signals.signal(signals.SIGHUP, lambda *_: reloader.request_reload())
 
     def _reload(self, now_ms: int) -> None:
         changed = self.reloader.poll(now_ms)
@@ -201,9 +201,9 @@
         """Open a subscribed link."""
         self.hub.dial(host, address)
 
-    def hang_up(self, host: str) -> None:
+    def close_link(self, host: str) -> None:
         """Close a subscribed link."""
-        self.hub.hang_up(host)
+        self.hub.close_link(host)
 
     def probe(self, host: str, address: str) -> None:
         """Connect to a peer once and tell the engine."""
@@ -216,9 +216,11 @@
 
         self.hub.probe(address, told)
 
-    def tell(self, host: str, address: str, message: typing.Any) -> bool:
+    def request_send(
+        self, host: str, address: str, message: typing.Any
+    ) -> bool:
         """Send on a request link."""
-        return self.hub.tell(host, address, message)
+        return self.hub.request_send(host, address, message)
 
     def reply(self, origin: str, message: typing.Any) -> None:
         """Answer on the connection that a message came by."""
@@ -301,9 +303,9 @@
         """Note the requests that a broken request link carried."""
         self.engine.requests_lost(unsent, lost)
 
-    def peer_doubted(self, host: str, doubted: bool) -> None:
+    def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
         """Note a peer that does not answer, or answers again."""
-        self.engine.peer_doubted(host, doubted)
+        self.engine.set_peer_unresponsive(host, unresponsive)
 
     def origin_lost(self, connection: hubs.Connection) -> None:
         """Note an incoming request link that broke."""
--- a/libs/daemon/tests/test_announcements.py
+++ b/libs/daemon/tests/test_announcements.py
@@ -48,7 +48,7 @@
     """A target says farewell; its last renewal arrives after that."""
     made = announcements.Announcements(LEASE_MS)
     made.put(announcement("a", 10, 4), 0)
-    assert made.take_farewell("a", 0, 50, 20)
+    assert made.deregister("a", 0, 50, 20)
     made.remove("a")
     made.put(announcement("a", 10, 5), 100)
     assert made.by_name == {}
@@ -64,7 +64,7 @@
     leaves would get its callers' requests again.
     """
     made = announcements.Announcements(LEASE_MS)
-    assert made.take_farewell("a", 0, now_ms=100, wall_ms=5000)
+    assert made.deregister("a", 0, now_ms=100, wall_ms=5000)
     made.put(announcement("a", 4000, 9), 2300)
     assert made.by_name == {}
 
@@ -72,13 +72,13 @@
 def test_a_farewell_leaves_room_for_the_next_life() -> None:
     """A target comes back under its name, by a clock that is behind."""
     made = announcements.Announcements(LEASE_MS)
-    made.take_farewell("a", 0, now_ms=100, wall_ms=5000)
+    made.deregister("a", 0, now_ms=100, wall_ms=5000)
     made.put(announcement("a", 5001, 1), 2300)
     assert list(made.by_name) == ["a"]
-    made.take_farewell("b", 0, now_ms=100, wall_ms=5000)
+    made.deregister("b", 0, now_ms=100, wall_ms=5000)
     made.put(announcement("b", 4900, 1, port=8081), 2300)
     assert list(made.by_name) == ["a"]
-    later_ms = 100 + announcements.STRAY_MS
+    later_ms = 100 + announcements.MAX_ANNOUNCEMENT_DELAY_MS
     made.put(announcement("b", 4900, 8, port=8081), later_ms)
     assert list(made.by_name) == ["a", "b"]
 
@@ -86,8 +86,8 @@
 def test_a_late_farewell_does_not_end_the_next_life() -> None:
     made = announcements.Announcements(LEASE_MS)
     made.put(announcement("a", 11, 1), 0)
-    assert not made.take_farewell("a", 10, 0, 20)
-    assert made.take_farewell("a", 11, 0, 20)
+    assert not made.deregister("a", 10, 0, 20)
+    assert made.deregister("a", 11, 0, 20)
 
 
 def test_one_that_started_later_takes_the_port() -> None:
--- a/libs/daemon/tests/test_evacuations.py
+++ b/libs/daemon/tests/test_evacuations.py
@@ -153,7 +153,7 @@
     Caller().ask(net, leader)
     net.run(500)
     process = net.processes[leader]
-    knowledge = queries.Knowledge(
+    knowledge = queries.QueryContext(
         process.state, process.node, process.raft, net.clock.now_ms()
     )
     (row,) = queries.answer(statements.ShowEvacuations(), knowledge)
--- a/libs/daemon/tests/test_hub.py
+++ b/libs/daemon/tests/test_hub.py
@@ -88,9 +88,9 @@
         """Remember."""
         self.told.append(("lost", unsent, lost))
 
-    def peer_doubted(self, host: str, doubted: bool) -> None:
+    def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
         """Remember."""
-        self.doubts.append((host, doubted))
+        self.doubts.append((host, unresponsive))
 
     def origin_lost(self, connection: typing.Any) -> None:
         """Remember."""
@@ -132,7 +132,7 @@
     to another target before its caller's deadline.
     """
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     rig.wait(450)
     assert rig.owner.told == []
     rig.wait(150)
@@ -142,12 +142,12 @@
 def test_a_link_that_goes_silent_is_closed_within_two_seconds() -> None:
     """Bytes go out and nothing comes back, without an error."""
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.wait(2000)
     assert isinstance(stream.sent[-1], messages.Ping)
     assert rig.owner.told == [("lost", [], [5])]
-    rig.hub.tell("h2", "h2:1", messages.Request(request_id=6))
+    rig.hub.request_send("h2", "h2:1", messages.Request(request_id=6))
     assert len(rig.transport.streams) == 2
 
 
@@ -158,7 +158,7 @@
     others are asked from 0.4 s on, and the peer again once it answers.
     """
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.wait(450)
     assert rig.owner.doubts == [("h2", True)]
@@ -171,7 +171,7 @@
 
 def test_a_link_without_requests_is_not_doubted() -> None:
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", messages.Cancel(1))
+    rig.hub.request_send("h2", "h2:1", messages.Cancel(1))
     rig.open()
     rig.wait(3000)
     assert rig.owner.doubts == []
@@ -179,7 +179,7 @@
 
 def test_a_peer_that_answers_pings_is_kept() -> None:
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     for _ in range(6):
         rig.wait(700)
@@ -190,7 +190,7 @@
 def test_an_idle_link_is_given_up_before_it_can_be_stale_for_long() -> None:
     """A link that went silent while nobody used it swallows a request."""
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", messages.Cancel(1))
+    rig.hub.request_send("h2", "h2:1", messages.Cancel(1))
     stream = rig.open()
     rig.wait(5900)
     assert not stream.closed
@@ -202,7 +202,7 @@
 def test_links_that_nobody_uses_cost_no_messages() -> None:
     """Each proxy of a large fleet pinged each other one for a minute."""
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.take(stream, messages.Answer(request_id=5, ran=True))
     sent = len(stream.sent)
@@ -215,9 +215,9 @@
 ):
     """No answer comes to it, so its link counted as busy until its end."""
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
-    rig.hub.tell("h2", "h2:1", messages.Cancel(5))
+    rig.hub.request_send("h2", "h2:1", messages.Cancel(5))
     sent = len(stream.sent)
     rig.wait(5900)
     assert len(stream.sent) == sent
@@ -226,7 +226,7 @@
 
 def test_a_long_request_costs_few_pings_while_its_peer_answers() -> None:
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     pings = 0
     for _ in range(40):
@@ -242,11 +242,11 @@
 def test_a_new_request_has_a_peer_asked_soon_again() -> None:
     """A cut that falls into a long request must not swallow later ones."""
     rig = Rig()
-    rig.hub.tell("h2", "h2:1", REQUEST)
+    rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.wait(200)
     rig.take(stream, messages.Pong(1))
-    rig.hub.tell("h2", "h2:1", messages.Request(request_id=6))
+    rig.hub.request_send("h2", "h2:1", messages.Request(request_id=6))
     rig.wait(450)
     assert rig.owner.doubts == [("h2", True)]
 
--- a/libs/daemon/tests/test_joining.py
+++ b/libs/daemon/tests/test_joining.py
@@ -205,7 +205,7 @@
     ]
     assert replies == []
     assert index == request.entries[-1].index
-    assert "store.failed" in process.carrier.notes
+    assert "store.failed" in process.driver.notes
 
 
 def fill(net: Net, name: str) -> None:
@@ -252,7 +252,7 @@
     other = net.processes[net.leaders()[0]]
     assert process.state.items.revision == other.state.items.revision
     assert process.raft.commit == other.raft.commit
-    assert "store.works_again" in process.carrier.notes
+    assert "store.works_again" in process.driver.notes
 
 
 def test_what_a_full_disk_refused_is_not_acknowledged_later() -> None:
@@ -317,8 +317,8 @@
     net = restarted(1)
     name, process = next(iter(net.processes.items()))
     told: list[messages.FloorReply] = []
-    net.processes[name].carrier.link_send = (
-        lambda host, message, send=process.carrier.link_send: (
+    net.processes[name].driver.link_send = (
+        lambda host, message, send=process.driver.link_send: (
             told.append(message) if host == "proxy" else send(host, message)
         )
     )
@@ -371,7 +371,7 @@
     net = Net()
     for name in SEEDS:
         net.start(name, found=True, lost_disks=2)
-    net.run(control_process.FOUNDING_MS + 2000)
+    net.run(control_process.FOUNDING_TIMEOUT_MS + 2000)
     done = accepts(net, net.leaders()[0])
     net.run(500)
     assert done()
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -51,7 +51,7 @@
     return items
 
 
-class Carrier:
+class Driver:
     """Carries one proxy's effects into the net."""
 
     def __init__(self, net: "Net", host: str) -> None:
@@ -70,13 +70,15 @@
     def dial(self, host: str, address: str) -> None:
         """Ignore."""
 
-    def hang_up(self, host: str) -> None:
+    def close_link(self, host: str) -> None:
         """Ignore."""
 
     def probe(self, host: str, address: str) -> None:
         """Ignore."""
 
-    def tell(self, host: str, address: str, message: typing.Any) -> bool:
+    def request_send(
+        self, host: str, address: str, message: typing.Any
+    ) -> bool:
         """Send on the connection to a peer."""
         return self.net.send(self.host, host, message)
 
@@ -126,7 +128,7 @@
         self.clock = clocks.PausedClock(1_700_000_000_000)
         self.hosts = hosts
         self.items = configuration({"v1": 1000})
-        self.carriers: dict[str, Carrier] = {}
+        self.carriers: dict[str, Driver] = {}
         self.processes: dict[str, proxy_process.ProxyProcess] = {}
         self.connections: dict[tuple[str, str], int] = {}
         self.numbers = 0
@@ -158,11 +160,11 @@
             lease_ms=3_600_000,
             grace_ms=1000,
         )
-        self.carriers[host] = Carrier(self, host)
+        self.carriers[host] = Driver(self, host)
         process = proxy_process.ProxyProcess(
             settings_made,
             peers_address=f"{host}:1",
-            carrier=self.carriers[host],
+            driver=self.carriers[host],
             clock=self.clock,
             rng=self.rng,
         )
@@ -298,8 +300,8 @@
         """Return what runs on targets, by host and request."""
         return [
             (host, request_id)
-            for host, carrier in self.carriers.items()
-            for request_id in carrier.dispatched
+            for host, driver in self.carriers.items()
+            for request_id in driver.dispatched
         ]
 
     def target_answers(self, host: str, request_id: int) -> None:
@@ -690,12 +692,12 @@
     net.settle()
     ((first, _),) = net.running()
     net.let_repeat("h1")
-    net.processes["h1"].peer_doubted(first, True)
+    net.processes["h1"].set_peer_unresponsive(first, True)
     net.settle()
     bodies = {
         host: effect.request.body
-        for host, carrier in net.carriers.items()
-        for effect in carrier.dispatched.values()
+        for host, driver in net.carriers.items()
+        for effect in driver.dispatched.values()
     }
     assert bodies == {"h2": LARGE, "h3": LARGE}
 
@@ -873,13 +875,13 @@
     # Slower than the doubted one by far, and still the one that answers.
     process.entry.balancer.target_stats("h1/t-h1").latency_us = 1_500_000
     process.entry.balancer.target_stats("h2/t-h2").latency_us = 10_000
-    process.peer_doubted("h2", True)
+    process.set_peer_unresponsive("h2", True)
     net.call("h1", "/pay", "c")
     net.settle()
     assert net.runs == {"a": 2, "b": 1, "c": 1}
     assert len(net.processes["h2"].targets.recent) == 2
     assert sorted(host for host, _ in net.running()) == ["h1"] * 2 + ["h2"] * 2
-    process.peer_doubted("h2", False)
+    process.set_peer_unresponsive("h2", False)
     assert process.entry.balancer.unresponsive == set()
 
 
@@ -1099,8 +1101,8 @@
     @stateful.invariant()
     def one_final_a_call(self) -> None:
         if hasattr(self, "net"):
-            for carrier in self.net.carriers.values():
-                assert not carrier.doubled
+            for driver in self.net.carriers.values():
+                assert not driver.doubled
 
 
 TestAtMostOnce = AtMostOnce.TestCase
--- a/libs/emulator/src/trefoil_emulator/control_net.py
+++ b/libs/emulator/src/trefoil_emulator/control_net.py
@@ -14,7 +14,7 @@
 STEP_MS = 50
 
 
-class Carrier:
+class Driver:
     """Carries one process's effects into the net."""
 
     def __init__(self, net: "Net", name: str) -> None:
@@ -31,7 +31,7 @@
         """Open a link if the peer is there."""
         self.net.dial(self.name, host)
 
-    def hang_up(self, host: str) -> None:
+    def close_link(self, host: str) -> None:
         """Close a link."""
         self.net.unlink(self.name, host)
 
@@ -76,7 +76,7 @@
         self.processes[name] = control_process.ControlProcess(
             checked.ok,
             peers_address=f"{name}:7000",
-            carrier=Carrier(self, name),
+            driver=Driver(self, name),
             clock=self.clock,
             rng=self.rng,
             disk=disk,
