--- a/libs/daemon/src/trefoil_daemon/hub.py
+++ b/libs/daemon/src/trefoil_daemon/hub.py
@@ -1,8 +1,9 @@
 """The hub: connections to other trefoilroute processes.
 
-Two kinds: subscribed links carry the fleet's and the agreement's messages,
-request links carry callers' requests and what belongs to them, so that a
-burst of requests can't hold up a heartbeat.
+There are two kinds of link. Subscribed links carry the messages of the fleet
+and of the agreement; request links carry callers' requests and the messages
+that belong to them. The kinds are separate so that a burst of requests can't
+delay a heartbeat.
 """
 
 import dataclasses
@@ -16,62 +17,98 @@
 
 from . import transport as transports
 
-GREETING_MS = 3000
-CONNECT_MS = 500
-# A request that runs says nothing for as long; a ping each time is little
-# beside it, and there are no more of them than requests under way.
-PING_AFTER_MS = 150
-# A peer that answered while a long request runs is asked less often until it
-# gets the next one.
-PING_AGAIN_MS = 600
-# A round trip takes milliseconds, and a process answers within a beat. One
-# that takes this long stands still, or a cut lies between.
-DOUBT_MS = 200
-PING_ANSWER_MS = 1000
-# What is kept for each peer of a fleet costs with the square of its hosts; a
-# new connection is one round trip.
-REQUEST_LINK_IDLE_MS = 6000
+GREETING_TIMEOUT_MS = 3000
+CONNECT_TIMEOUT_MS = 500
+# How long a link with requests in flight may be silent before it is pinged.
+# Pings never outnumber the requests in flight.
+PING_INTERVAL_MS = 150
+# Ping interval once a peer has answered a ping during a long request; it
+# applies until the next request is sent.
+SLOW_PING_INTERVAL_MS = 600
+# A round trip takes milliseconds and a process answers within one 50 ms tick.
+# A longer delay means that the process is frozen or the network partitioned.
+UNRESPONSIVE_AFTER_MS = 200
+PING_TIMEOUT_MS = 1000
+# Idle connections are closed because their number grows with the square of
+# the number of hosts; opening a new one takes one round trip.
+REQUEST_LINK_IDLE_TIMEOUT_MS = 6000
 
 
 class Owner(typing.Protocol):
-    """What the hub tells its process."""
+    """Callbacks of the process that owns a hub."""
 
     def greeting(self, subscribe: bool) -> messages.Hello:
-        """Return the greeting of this process."""
+        """Return the ``Hello`` message of this process."""
 
     def is_cross_domain(self, host: str) -> bool:
-        """Tell whether a peer is in another failure domain."""
+        """Return whether a peer is in another failure domain."""
 
     def admit(self, hello: messages.Hello) -> int:
-        """Return 0 to serve a peer, else how long it should wait in ms."""
+        """Return 0 to accept a peer, else milliseconds until it may retry."""
 
     def link_up(self, host: str, hello: messages.Hello, served: bool) -> None:
-        """Note a subscribed link."""
+        """Handle a subscribed link that was established.
+
+        Args:
+            host: The peer.
+            hello: Its greeting.
+            served: Whether the peer opened the link.
+        """
 
     def link_down(self, host: str, retry_after_ms: int) -> None:
-        """Note a subscribed link that broke or was refused."""
+        """Handle a subscribed link that broke or was refused.
+
+        Args:
+            host: The peer.
+            retry_after_ms: When the peer accepts another attempt; 0 if the
+                link broke.
+        """
 
     def link_message(self, host: str, message: typing.Any) -> None:
-        """Take a message from a subscribed link."""
+        """Handle a message from a subscribed link."""
 
     def request_message(
         self, connection: "Connection", message: typing.Any
     ) -> None:
-        """Take a message from a request link."""
+        """Handle a message from a request link."""
 
     def requests_lost(self, unsent: list[int], lost: list[int]) -> None:
-        """Note the requests that a broken request link carried."""
+        """Handle the loss of a request link.
+
+        Args:
+            unsent: Ids of requests that certainly were not sent.
+            lost: Ids of requests that were sent and not answered.
+        """
 
     def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
-        """Note a peer that does not answer, or answers again."""
+        """Mark a peer as unresponsive, or as responsive again."""
 
     def origin_lost(self, connection: "Connection") -> None:
-        """Note an incoming request link that broke."""
+        """Handle the loss of an incoming request link."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Connection:
-    """One connection to a peer process."""
+    """One connection to a peer process.
+
+    Args:
+        number: Distinguishes the connections of this process.
+        stream: Its byte stream.
+        host: The peer; empty until an incoming connection has greeted.
+        subscribe: Whether it is a subscribed link.
+        outgoing: Whether this process opened it.
+        opened_ms: When it was opened.
+        last_received_ms: When the peer last sent anything.
+        reader: Decodes the peer's frames.
+        greeted: Whether the first message has arrived.
+        ready: Whether messages may be sent.
+        waiting: Messages that are sent once the connection is open.
+        outstanding: Ids of requests that have no answer yet.
+        pinged_ms: When the unanswered ping was sent; 0 if there is none.
+        pong_received: Whether a ping was answered since the last request.
+        last_used_ms: When a message was last sent on a request link.
+        unresponsive: Whether the peer is reported as unresponsive.
+    """
 
     number: int
     stream: transports.Stream
@@ -79,7 +116,7 @@
     subscribe: bool
     outgoing: bool
     opened_ms: int
-    heard_ms: int
+    last_received_ms: int
     reader: frames.FrameReader = dataclasses.field(
         default_factory=frames.FrameReader
     )
@@ -88,22 +125,22 @@
     waiting: list[typing.Any] = dataclasses.field(default_factory=list)
     outstanding: set[int] = dataclasses.field(default_factory=set)
     pinged_ms: int = 0
-    answered: bool = False
-    used_ms: int = 0
+    pong_received: bool = False
+    last_used_ms: int = 0
     unresponsive: bool = False
 
     @property
     def name(self) -> str:
-        """Return what tells this connection from others."""
+        """Return a name that is unique within this process."""
         return f"{self.host}#{self.number}"
 
 
 class Hub:
-    """All connections to peers of one process.
+    """All connections of a process to its peers.
 
     Args:
-        transport: Carries the streams.
-        owner: The process.
+        transport: Opens and accepts the streams.
+        owner: The process; receives messages and link changes.
         clock: The runtime's clock.
     """
 
@@ -140,13 +177,13 @@
         self.probes: dict[transports.Stream, typing.Any] = {}
 
     def listen(self, address: str) -> int:
-        """Take peers' connections; return the port."""
-        return self.transport.listen(address, self._accepted)
+        """Accept connections of peers at an address; return the port."""
+        return self.transport.listen(address, self._on_accept)
 
     # Sending
 
     def link_send(self, host: str, message: typing.Any) -> None:
-        """Send on a subscribed link; dropped if there is none."""
+        """Send on a subscribed link; drop the message if there is none."""
         connection = self.links.get(host)
         if connection is not None:
             self._write(connection, message)
@@ -154,10 +191,10 @@
     def request_send(
         self, host: str, address: str, message: typing.Any
     ) -> bool:
-        """Send on a request link, opening it if need be.
+        """Send on a request link; open one if there is none.
 
         Returns:
-            False if the peer can't be reached.
+            False if there is neither a link nor an address.
         """
         connection = self.requests.get(host)
         if connection is None:
@@ -165,8 +202,8 @@
                 return False
             connection = self._dial(host, address, subscribe=False)
             self.requests[host] = connection
-        connection.used_ms = self.clock.now_ms()
-        _note_sent(connection, message)
+        connection.last_used_ms = self.clock.now_ms()
+        _track_sent(connection, message)
         if connection.ready:
             self._write(connection, message)
         else:
@@ -174,7 +211,7 @@
         return True
 
     def reply(self, connection: Connection, message: typing.Any) -> None:
-        """Answer on the connection that a message came by."""
+        """Reply on the connection that a message was received on."""
         if not connection.stream.closed:
             self._write(connection, message)
 
@@ -183,12 +220,12 @@
         name = type(message).__name__
         self.bytes_out[name] = self.bytes_out.get(name, 0) + len(data)
         if self.owner.is_cross_domain(connection.host):
-            far = self.cross_domain_bytes_out.get(name, 0)
-            self.cross_domain_bytes_out[name] = far + len(data)
+            cross_domain_bytes = self.cross_domain_bytes_out.get(name, 0)
+            self.cross_domain_bytes_out[name] = cross_domain_bytes + len(data)
         connection.stream.write(data)
 
     def owes(self) -> bool:
-        """Tell whether answers to other proxies still wait to be sent."""
+        """Return whether answers to other proxies are still unsent."""
         return any(
             connection.stream.unsent
             for connection in self.connections
@@ -211,34 +248,36 @@
     def probe(
         self,
         address: str,
-        told: typing.Callable[[bool], None],
+        on_result: typing.Callable[[bool], None],
     ) -> None:
-        """Connect once and tell whether the peer takes connections."""
-        stream = self.transport.connect(address, self._probe_open)
-        self.probes[stream] = (told, self.clock.now_ms())
-        stream.on_close = self._probe_closed
+        """Connect once; pass on whether the peer accepted the connection."""
+        stream = self.transport.connect(address, self._on_probe_open)
+        self.probes[stream] = (on_result, self.clock.now_ms())
+        stream.on_close = self._on_probe_close
 
-    def _probe_open(self, stream: transports.Stream) -> None:
-        self._probe_done(stream, True)
+    def _on_probe_open(self, stream: transports.Stream) -> None:
+        self._finish_probe(stream, True)
         stream.close()
 
-    def _probe_closed(self, stream: transports.Stream) -> None:
-        self._probe_done(stream, False)
+    def _on_probe_close(self, stream: transports.Stream) -> None:
+        self._finish_probe(stream, False)
 
-    def _probe_done(self, stream: transports.Stream, answered: bool) -> None:
+    def _finish_probe(self, stream: transports.Stream, answered: bool) -> None:
         found = self.probes.pop(stream, None)
         if found is not None:
             found[0](answered)
 
     def _dial(self, host: str, address: str, *, subscribe: bool) -> Connection:
-        stream = self.transport.connect(address, self._opened)
-        connection = self._watch(stream, host, subscribe, outgoing=True)
+        stream = self.transport.connect(address, self._on_open)
+        connection = self._add_connection(
+            stream, host, subscribe, outgoing=True
+        )
         return connection
 
-    def _accepted(self, stream: transports.Stream) -> None:
-        self._watch(stream, "", False, outgoing=False)
+    def _on_accept(self, stream: transports.Stream) -> None:
+        self._add_connection(stream, "", False, outgoing=False)
 
-    def _watch(
+    def _add_connection(
         self,
         stream: transports.Stream,
         host: str,
@@ -254,17 +293,17 @@
             subscribe=subscribe,
             outgoing=outgoing,
             opened_ms=now_ms,
-            heard_ms=now_ms,
+            last_received_ms=now_ms,
         )
         stream.owner = connection
-        stream.on_data = self._data
-        stream.on_close = self._closed
+        stream.on_data = self._on_data
+        stream.on_close = self._on_close
         self.connections.add(connection)
         return connection
 
-    def _opened(self, stream: transports.Stream) -> None:
+    def _on_open(self, stream: transports.Stream) -> None:
         connection = stream.owner
-        connection.heard_ms = self.clock.now_ms()
+        connection.last_received_ms = self.clock.now_ms()
         self._write(connection, self.owner.greeting(connection.subscribe))
         if not connection.subscribe:
             connection.ready = True
@@ -272,7 +311,7 @@
                 self._write(connection, message)
             connection.waiting = []
 
-    def _closed(self, stream: transports.Stream) -> None:
+    def _on_close(self, stream: transports.Stream) -> None:
         connection = stream.owner
         self.connections.discard(connection)
         if connection.subscribe:
@@ -289,7 +328,7 @@
     def _request_link_closed(self, connection: Connection) -> None:
         if self.requests.get(connection.host) is connection:
             del self.requests[connection.host]
-        self._doubt(connection, False)
+        self._set_unresponsive(connection, False)
         unsent = [
             message.request_id
             for message in connection.waiting
@@ -301,39 +340,40 @@
 
     # Receiving
 
-    def _data(self, stream: transports.Stream, data: bytes) -> None:
+    def _on_data(self, stream: transports.Stream, data: bytes) -> None:
         connection = stream.owner
-        connection.heard_ms = self.clock.now_ms()
+        connection.last_received_ms = self.clock.now_ms()
         connection.pinged_ms = 0
-        self._doubt(connection, False)
+        self._set_unresponsive(connection, False)
         try:
             for message in connection.reader.feed(data):
-                self._message(connection, message)
+                self._on_message(connection, message)
                 if stream.closed:
                     return
         except errors.FrameError as error:
-            self._bad(connection, str(error))
+            self._close_malformed(connection, str(error))
         except (TypeError, ValueError, AttributeError, KeyError) as error:
-            # Thrift leaves a missing field as None; what a core then trips
-            # over must cost the peer its connection, not this process its
-            # life.
-            self._bad(connection, f"{type(error).__name__}: {error}")
+            # Thrift decodes a missing field as None, which a core may fail
+            # on. That must close the peer's connection, not end the process.
+            self._close_malformed(
+                connection, f"{type(error).__name__}: {error}"
+            )
 
-    def _bad(self, connection: Connection, why: str) -> None:
+    def _close_malformed(self, connection: Connection, why: str) -> None:
         bad = getattr(self.owner, "bad_peer", None)
         if bad is not None:
             bad(connection.host, why)
         connection.stream.close()
 
-    def _message(self, connection: Connection, message: typing.Any) -> None:
+    def _on_message(self, connection: Connection, message: typing.Any) -> None:
         name = type(message).__name__
         self.bytes_in[name] = self.bytes_in.get(name, 0) + 1
         if not connection.greeted:
-            self._greeted(connection, message)
+            self._on_first_message(connection, message)
         elif isinstance(message, messages.Ping):
             self._write(connection, messages.Pong(message.nonce))
         elif isinstance(message, messages.Pong):
-            connection.answered = True
+            connection.pong_received = True
         elif connection.subscribe:
             self.owner.link_message(connection.host, message)
         else:
@@ -341,15 +381,21 @@
                 connection.outstanding.discard(message.request_id)
             self.owner.request_message(connection, message)
 
-    def _greeted(self, connection: Connection, message: typing.Any) -> None:
-        """Take the first message of a connection."""
+    def _on_first_message(
+        self, connection: Connection, message: typing.Any
+    ) -> None:
+        """Handle the first message of a connection.
+
+        Raises:
+            FrameError: It is not the message that must come first.
+        """
         if connection.outgoing and not connection.subscribe:
             connection.greeted = True
-            self._message(connection, message)
+            self._on_message(connection, message)
             return
         connection.greeted = True
         if connection.outgoing:
-            self._take_reply(connection, message)
+            self._on_hello_reply(connection, message)
             return
         if not isinstance(message, messages.Hello) or not message.host:
             raise errors.FrameError("the first message must be a greeting")
@@ -370,21 +416,23 @@
             connection.subscribe = False
             connection.stream.close_after_write()
             return
-        self._link(connection, hello, served=True)
+        self._register_link(connection, hello, served=True)
 
-    def _take_reply(self, connection: Connection, message: typing.Any) -> None:
+    def _on_hello_reply(
+        self, connection: Connection, message: typing.Any
+    ) -> None:
         if not isinstance(message, messages.HelloReply):
             raise errors.FrameError("expected a reply to the greeting")
         if message.hello.host != connection.host:
             raise errors.FrameError("another host answers at this address")
         connection.ready = True
         if message.accepted:
-            self._link(connection, message.hello, served=False)
+            self._register_link(connection, message.hello, served=False)
             return
         connection.stream.close()
         self.owner.link_down(connection.host, message.retry_after_ms or 1)
 
-    def _link(
+    def _register_link(
         self, connection: Connection, hello: messages.Hello, *, served: bool
     ) -> None:
         old = self.links.get(hello.host)
@@ -397,72 +445,83 @@
     # Time
 
     def tick(self) -> None:
-        """Probe request links, drop what never greeted."""
+        """Ping request links; close those that did not open in time."""
         now_ms = self.clock.now_ms()
         for connection in list(self.connections):
             unready = connection.outgoing and not connection.ready
             silent = not connection.greeted and not connection.outgoing
             if unready or silent:
-                if now_ms - connection.opened_ms > _opening_ms(connection):
+                if now_ms - connection.opened_ms > _open_timeout_ms(
+                    connection
+                ):
                     connection.stream.close()
             elif not connection.subscribe and connection.outgoing:
-                self._watch_request_link(connection, now_ms)
+                self._check_request_link(connection, now_ms)
         for stream, (_, since_ms) in list(self.probes.items()):
-            if now_ms - since_ms > PING_ANSWER_MS:
+            if now_ms - since_ms > PING_TIMEOUT_MS:
                 stream.close()
 
-    def _watch_request_link(self, connection: Connection, now_ms: int) -> None:
-        """Find out a link that went silent while its peer lives.
+    def _check_request_link(self, connection: Connection, now_ms: int) -> None:
+        """Detect a dead connection to a peer that is still running.
 
-        Something between the two ends can lose track of a connection: bytes
-        go out, nothing ever comes back, no error is told. A ping that stays
-        unanswered shows it within seconds; the next request then opens a
-        fresh connection, which works. Long before that new requests are led
-        elsewhere: in a cut between failure domains a second of them would
-        else be lost on their way.
+        A middlebox can drop the state of a connection: bytes are sent,
+        nothing is received and no error is reported. An unanswered ping
+        reveals this within seconds; the next request then opens a new
+        connection. Well before that, the peer is reported as unresponsive
+        and new requests go to other hosts. Otherwise a partition between
+        failure domains would lose the requests of about a second.
         """
         if connection.pinged_ms:
             waited_ms = now_ms - connection.pinged_ms
-            if waited_ms >= PING_ANSWER_MS:
+            if waited_ms >= PING_TIMEOUT_MS:
                 connection.stream.close()
-            elif waited_ms >= DOUBT_MS:
-                self._doubt(connection, True)
+            elif waited_ms >= UNRESPONSIVE_AFTER_MS:
+                self._set_unresponsive(connection, True)
             return
         if not connection.outstanding:
-            if now_ms - connection.used_ms >= REQUEST_LINK_IDLE_MS:
+            if (
+                now_ms - connection.last_used_ms
+                >= REQUEST_LINK_IDLE_TIMEOUT_MS
+            ):
                 connection.stream.close()
             return
-        pause_ms = PING_AGAIN_MS if connection.answered else PING_AFTER_MS
-        if now_ms - connection.heard_ms >= pause_ms:
+        pause_ms = (
+            SLOW_PING_INTERVAL_MS
+            if connection.pong_received
+            else PING_INTERVAL_MS
+        )
+        if now_ms - connection.last_received_ms >= pause_ms:
             connection.pinged_ms = now_ms
             self._write(connection, messages.Ping(connection.number))
 
-    def _doubt(self, connection: Connection, unresponsive: bool) -> None:
+    def _set_unresponsive(
+        self, connection: Connection, unresponsive: bool
+    ) -> None:
         if connection.unresponsive != unresponsive:
             connection.unresponsive = unresponsive
             self.owner.set_peer_unresponsive(connection.host, unresponsive)
 
 
-def _note_sent(connection: Connection, message: typing.Any) -> None:
-    """Keep account of the requests whose answers a connection waits for.
+def _track_sent(connection: Connection, message: typing.Any) -> None:
+    """Update the set of requests that a connection awaits answers to.
 
-    A request that was given up gets no answer. Counted on, it would have its
-    link pinged for as long as both processes live.
+    A cancelled request gets no answer. If it stayed in the set, its link
+    would be pinged for as long as both processes run.
     """
     match message:
         case messages.Request():
             connection.outstanding.add(message.request_id)
-            connection.answered = False
+            connection.pong_received = False
         case messages.Cancel():
             connection.outstanding.discard(message.request_id)
 
 
-def _opening_ms(connection: Connection) -> int:
-    """Return how long a connection may take to open.
+def _open_timeout_ms(connection: Connection) -> int:
+    """Return how long a connection may take to open, in milliseconds.
 
-    A host that lost power answers nothing, not even a refusal. A request
-    that waits for such a connection certainly did not run; told early, it
-    goes to another target while its caller still waits.
+    A host that lost power does not even refuse a connection. A request that
+    is queued for such a connection certainly did not run; with a short
+    timeout it can go to another target before its caller's deadline.
     """
     carries_requests = connection.outgoing and not connection.subscribe
-    return CONNECT_MS if carries_requests else GREETING_MS
+    return CONNECT_TIMEOUT_MS if carries_requests else GREETING_TIMEOUT_MS
--- a/libs/daemon/tests/test_hub.py
+++ b/libs/daemon/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""Connections to peers that are slow, silent, wrong or dead."""
+"""Connections to peers that are slow, silent, malformed or dead."""
 
 import typing
 
@@ -13,7 +13,7 @@
 
 
 class FakeStream:
-    """A connection that only remembers what was done to it."""
+    """A stream that records what is written to it."""
 
     def __init__(self) -> None:
         self.connecting = True
@@ -23,11 +23,11 @@
         self.on_open = self.on_data = self.on_close = self.owner = None
 
     def write(self, data: bytes) -> None:
-        """Remember messages."""
+        """Record messages."""
         self.sent.extend(self.reader.feed(data))
 
     def close(self) -> None:
-        """Close, once."""
+        """Close; report it the first time only."""
         if not self.closed:
             self.closed = True
             self.on_close(self)
@@ -36,13 +36,13 @@
 
 
 class FakeTransport:
-    """Makes fake connections."""
+    """Opens fake streams."""
 
     def __init__(self) -> None:
         self.streams: list[FakeStream] = []
 
     def connect(self, address: str, on_open: typing.Any) -> FakeStream:
-        """Begin a connection."""
+        """Open a stream that is not connected yet."""
         stream = FakeStream()
         stream.on_open = on_open
         self.streams.append(stream)
@@ -50,55 +50,55 @@
 
 
 class FakeOwner:
-    """Remembers what the hub tells its process."""
+    """Records the hub's callbacks."""
 
     def __init__(self) -> None:
-        self.told: list[typing.Any] = []
-        self.doubts: list[tuple[str, bool]] = []
+        self.calls: list[typing.Any] = []
+        self.responsiveness: list[tuple[str, bool]] = []
 
     def greeting(self, subscribe: bool) -> messages.Hello:
-        """Return a greeting."""
+        """Return a ``Hello``."""
         return messages.Hello(host="me", subscribe=subscribe)
 
     def is_cross_domain(self, host: str) -> bool:
-        """Hosts are near unless their name says otherwise."""
+        """Return whether the name begins with ``far``."""
         return host.startswith("far")
 
     def admit(self, hello: messages.Hello) -> int:
-        """Serve everybody."""
+        """Accept every peer."""
         return 0
 
     def link_up(self, host: str, hello: typing.Any, served: bool) -> None:
-        """Remember."""
-        self.told.append(("up", host, served))
+        """Record it."""
+        self.calls.append(("up", host, served))
 
     def link_down(self, host: str, retry_after_ms: int) -> None:
-        """Remember."""
-        self.told.append(("down", host, retry_after_ms))
+        """Record it."""
+        self.calls.append(("down", host, retry_after_ms))
 
     def link_message(self, host: str, message: typing.Any) -> None:
-        """Remember."""
-        self.told.append(("link", host, message))
+        """Record it."""
+        self.calls.append(("link", host, message))
 
     def request_message(self, connection: typing.Any, message: object) -> None:
-        """Remember."""
-        self.told.append(("request", message))
+        """Record it."""
+        self.calls.append(("request", message))
 
     def requests_lost(self, unsent: list[int], lost: list[int]) -> None:
-        """Remember."""
-        self.told.append(("lost", unsent, lost))
+        """Record it."""
+        self.calls.append(("lost", unsent, lost))
 
     def set_peer_unresponsive(self, host: str, unresponsive: bool) -> None:
-        """Remember."""
-        self.doubts.append((host, unresponsive))
+        """Record it."""
+        self.responsiveness.append((host, unresponsive))
 
     def origin_lost(self, connection: typing.Any) -> None:
-        """Remember."""
-        self.told.append(("origin",))
+        """Record it."""
+        self.calls.append(("origin",))
 
 
 class Rig:
-    """A hub with everything around it faked."""
+    """A hub with fake streams, owner and clock."""
 
     def __init__(self) -> None:
         self.transport = FakeTransport()
@@ -107,74 +107,74 @@
         self.hub = hubs.Hub(self.transport, self.owner, self.clock)
 
     def open(self, at: int = -1) -> FakeStream:
-        """Let a connection be made."""
+        """Complete a connection; the last one by default."""
         stream = self.transport.streams[at]
         stream.connecting = False
         stream.on_open(stream)
         return stream
 
     def take(self, stream: FakeStream, *found: typing.Any) -> None:
-        """Let messages arrive."""
+        """Deliver messages on a stream."""
         data = b"".join(frames.encode(message) for message in found)
         stream.on_data(stream, data)
 
     def wait(self, for_ms: int) -> None:
-        """Let time pass."""
+        """Advance the clock in ticks of 50 ms."""
         for _ in range(for_ms // 50):
             self.clock.advance(50)
             self.hub.tick()
 
 
-def test_a_host_without_power_costs_half_a_second() -> None:
-    """Nothing answers the connection, not even a refusal.
+def test_request_to_a_powerless_host_is_unsent_within_half_a_second() -> None:
+    """The peer does not even refuse the connection.
 
-    The request never left: it is told as unsent, early enough to be sent
-    to another target before its caller's deadline.
+    The request was not sent. It must be reported as unsent early enough to
+    be sent to another target before its caller's deadline.
     """
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     rig.wait(450)
-    assert rig.owner.told == []
+    assert rig.owner.calls == []
     rig.wait(150)
-    assert rig.owner.told == [("lost", [5], [])]
+    assert rig.owner.calls == [("lost", [5], [])]
 
 
-def test_a_link_that_goes_silent_is_closed_within_two_seconds() -> None:
-    """Bytes go out and nothing comes back, without an error."""
+def test_a_silent_link_is_closed_within_two_seconds() -> None:
+    """Bytes are sent, nothing is received and no error is reported."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.wait(2000)
     assert isinstance(stream.sent[-1], messages.Ping)
-    assert rig.owner.told == [("lost", [], [5])]
+    assert rig.owner.calls == [("lost", [], [5])]
     rig.hub.request_send("h2", "h2:1", messages.Request(request_id=6))
     assert len(rig.transport.streams) == 2
 
 
-def test_a_peer_behind_a_cut_is_doubted_within_half_a_second() -> None:
-    """A failure domain is cut off under a request; nothing tells it.
+def test_a_partitioned_peer_is_unresponsive_within_half_a_second() -> None:
+    """A partition cuts off a failure domain and reports no error.
 
-    For a second and a half everything sent there was lost on its way. Now
-    others are asked from 0.4 s on, and the peer again once it answers.
+    Without the ping, every request sent there within 1.5 s would be lost.
+    From 0.4 s on requests go to other hosts, until the peer answers again.
     """
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.wait(450)
-    assert rig.owner.doubts == [("h2", True)]
+    assert rig.owner.responsiveness == [("h2", True)]
     rig.take(stream, messages.Pong(1))
-    assert rig.owner.doubts == [("h2", True), ("h2", False)]
+    assert rig.owner.responsiveness == [("h2", True), ("h2", False)]
     rig.wait(2000)
-    assert rig.owner.doubts[2:] == [("h2", True), ("h2", False)]
-    assert rig.owner.told == [("lost", [], [5])]
+    assert rig.owner.responsiveness[2:] == [("h2", True), ("h2", False)]
+    assert rig.owner.calls == [("lost", [], [5])]
 
 
-def test_a_link_without_requests_is_not_doubted() -> None:
+def test_a_link_without_requests_stays_responsive() -> None:
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", messages.Cancel(1))
     rig.open()
     rig.wait(3000)
-    assert rig.owner.doubts == []
+    assert rig.owner.responsiveness == []
 
 
 def test_a_peer_that_answers_pings_is_kept() -> None:
@@ -187,8 +187,8 @@
     assert not stream.closed
 
 
-def test_an_idle_link_is_given_up_before_it_can_be_stale_for_long() -> None:
-    """A link that went silent while nobody used it swallows a request."""
+def test_an_idle_link_is_closed_after_its_timeout() -> None:
+    """A link that died while it was idle would lose the next request."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", messages.Cancel(1))
     stream = rig.open()
@@ -196,11 +196,11 @@
     assert not stream.closed
     rig.wait(100)
     assert stream.closed
-    assert rig.owner.told == []
+    assert rig.owner.calls == []
 
 
-def test_links_that_nobody_uses_cost_no_messages() -> None:
-    """Each proxy of a large fleet pinged each other one for a minute."""
+def test_idle_links_are_not_pinged() -> None:
+    """In a large fleet, pings on idle links grow with its square."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
@@ -210,10 +210,8 @@
     assert len(stream.sent) == sent
 
 
-def test_a_request_that_was_given_up_has_its_link_not_pinged_for_good() -> (
-    None
-):
-    """No answer comes to it, so its link counted as busy until its end."""
+def test_the_link_of_a_cancelled_request_is_not_pinged() -> None:
+    """It gets no answer, so its link would count as busy until it closes."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
@@ -221,7 +219,7 @@
     sent = len(stream.sent)
     rig.wait(5900)
     assert len(stream.sent) == sent
-    assert rig.owner.doubts == []
+    assert rig.owner.responsiveness == []
 
 
 def test_a_long_request_costs_few_pings_while_its_peer_answers() -> None:
@@ -239,8 +237,8 @@
     assert pings <= 5
 
 
-def test_a_new_request_has_a_peer_asked_soon_again() -> None:
-    """A cut that falls into a long request must not swallow later ones."""
+def test_a_new_request_restores_the_short_ping_interval() -> None:
+    """A partition during a long request must not lose later requests."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
@@ -248,16 +246,16 @@
     rig.take(stream, messages.Pong(1))
     rig.hub.request_send("h2", "h2:1", messages.Request(request_id=6))
     rig.wait(450)
-    assert rig.owner.doubts == [("h2", True)]
+    assert rig.owner.responsiveness == [("h2", True)]
 
 
-def test_a_refused_greeting_tells_when_to_come_back() -> None:
+def test_a_refused_greeting_passes_on_the_retry_time() -> None:
     rig = Rig()
     rig.hub.dial("s1", "s1:1")
     stream = rig.open()
     hello = messages.Hello(host="s1")
     rig.take(stream, messages.HelloReply(hello, False, 750))
-    assert rig.owner.told == [("down", "s1", 750)]
+    assert rig.owner.calls == [("down", "s1", 750)]
 
 
 @pytest.mark.parametrize(
@@ -271,7 +269,7 @@
     rig = Rig()
     rig.hub.dial("s1", "s1:1")
     rig.take(rig.open(), answer)
-    assert rig.owner.told == [("down", "s1", 0)]
+    assert rig.owner.calls == [("down", "s1", 0)]
 
 
 def test_a_link_that_never_greets_is_closed() -> None:
@@ -279,4 +277,4 @@
     rig.hub.dial("s1", "s1:1")
     rig.open()
     rig.wait(3100)
-    assert rig.owner.told == [("down", "s1", 0)]
+    assert rig.owner.calls == [("down", "s1", 0)]
