--- a/libs/daemon/src/trefoil_daemon/_fleet_process.py
+++ b/libs/daemon/src/trefoil_daemon/_fleet_process.py
@@ -1,4 +1,4 @@
-"""What both process engines share: the fleet core and its effects."""
+"""The base class of both process engines: the fleet core and its effects."""
 
 import functools
 import typing
@@ -14,11 +14,11 @@
 
 
 class FleetProcess:
-    """A process of the fleet: links in, effects out.
+    """Passes link events to the fleet core and executes its effects.
 
     Args:
-        node: Its fleet core.
-        carrier: Carries its effects.
+        node: The fleet core.
+        driver: Does the input and output of effects.
         clock: The runtime's clock.
     """
 
@@ -33,30 +33,34 @@
         self.clock = clock
 
     def execute(self, effect: typing.Any) -> None:
-        """Carry out one effect; engines add their own kinds."""
+        """Execute one effect; engines add their own kinds."""
         execute(effect, self)
 
     def perform(self, effects: list[typing.Any]) -> None:
-        """Carry out effects in order; durable ones are synced first."""
+        """Execute effects in order; a write is synced before the next one."""
         for effect in effects:
             self.execute(effect)
 
     def families(self) -> list[exposition.Family]:
-        """Return the metrics that differ by labels; engines add theirs."""
+        """Return the labelled metrics; engines add their own."""
         return []
 
     def greeting(self, subscribe: bool) -> messages.Hello:
-        """Return the greeting of this process."""
+        """Return the ``Hello`` message of this process.
+
+        Args:
+            subscribe: Whether it opens a subscribed link.
+        """
         hello = self.node.hello()
         hello.subscribe = subscribe
         return hello
 
     def admit(self, hello: messages.Hello) -> int:
-        """Return 0 to serve a peer, else how long it should wait in ms."""
+        """Return 0 to accept a peer, else milliseconds until it may retry."""
         return self.node.admit(hello, self.clock.now_ms())
 
     def link_up(self, host: str, hello: messages.Hello, served: bool) -> None:
-        """Note a subscribed link."""
+        """Handle a subscribed link that was established."""
         self.node.on_hello(hello)
         self.perform(
             self.node.linked(
@@ -69,7 +73,7 @@
         )
 
     def link_down(self, host: str, retry_after_ms: int) -> None:
-        """Note a subscribed link that broke or was refused."""
+        """Handle a subscribed link that broke or was refused."""
         self.perform(
             self.node.unlinked(host, self.clock.now_ms(), retry_after_ms)
         )
@@ -77,7 +81,11 @@
 
 @functools.singledispatch
 def execute(effect: typing.Any, process: FleetProcess) -> None:
-    """Carry out one effect."""
+    """Execute one effect.
+
+    Raises:
+        TypeError: No implementation is registered for its type.
+    """
     raise TypeError(f"no such effect: {type(effect).__name__}")
 
 
--- a/libs/daemon/src/trefoil_daemon/announcements.py
+++ b/libs/daemon/src/trefoil_daemon/announcements.py
@@ -1,4 +1,4 @@
-"""Targets' announcements at their own proxy: leases, drains, leaving."""
+"""Announcements of targets to the proxy of their host, and their leases."""
 
 import dataclasses
 import json
@@ -15,24 +15,25 @@
     "draining": messages.TargetState.DRAINING,
 }
 MAX_TARGETS = 64
-MAX_FAREWELLS = 256
+MAX_DEREGISTRATIONS = 256
 MAX_RESOURCES = 256
-# An announcement that was held up on its way comes within seconds.
+# A delayed announcement arrives within seconds.
 MAX_ANNOUNCEMENT_DELAY_MS = 15_000
 
 
 @dataclasses.dataclass(slots=True)
 class Announcement:
-    """A target's word about itself.
+    """What a target announces about itself.
 
     Args:
-        record: What other hosts learn.
-        port: Where the target takes requests on this host.
+        record: The part that is passed on to other hosts.
+        port: Port on this host where the target accepts requests.
         incarnation: When the target started, Unix time in milliseconds; 0
-            if it does not say.
-        sequence: Grows with each of its announcements; 0 if not told.
-        warmup_left_ms: How much longer it is cold; 0 if it is warm, or if
-            it only tells that it is cold.
+            if not given.
+        sequence: Increases with each announcement of an incarnation; 0 if
+            not given.
+        warmup_left_ms: How much longer it is cold; 0 if it is warm or the
+            duration is unknown.
     """
 
     record: messages.TargetRecord
@@ -43,12 +44,16 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return what tells a later announcement from an earlier one."""
+        """Return a key that orders the announcements of a target."""
         return self.incarnation, self.sequence
 
 
 def parse(name: str, body: bytes) -> Announcement:
-    """Read an announcement.
+    """Parse an announcement.
+
+    Args:
+        name: Name of the target.
+        body: The announcement as JSON.
 
     Raises:
         ProtocolError: It is malformed; the reason lists every finding.
@@ -79,12 +84,15 @@
         ),
         lambda **values: _make(name, **values),
     )
-    made = reader.parse(text, kind)
-    if made is not None and len(made.record.resources) > MAX_RESOURCES:
+    announcement = reader.parse(text, kind)
+    if (
+        announcement is not None
+        and len(announcement.record.resources) > MAX_RESOURCES
+    ):
         raise errors.ProtocolError(400, "too many resources")
     if reader.findings:
         raise errors.ProtocolError(400, str(reader.findings))
-    return made
+    return announcement
 
 
 def _make(
@@ -108,15 +116,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Farewell:
-    """A target's word that a life of it ends.
+class Deregistration:
+    """A target's notice that it leaves.
 
     Args:
-        ended: Incarnation of the last life that it ends.
-        until_ms: How long it counts, on the runtime's clock; 0 for ever.
+        max_incarnation: The latest incarnation that it applies to.
+        until_ms: When it expires, on the runtime's clock; 0 for never.
     """
 
-    ended: int
+    max_incarnation: int
     until_ms: int = 0
 
 
@@ -124,19 +132,22 @@
     """The targets of this host and their leases.
 
     Args:
-        lease_ms: How long an announcement counts without a renewal.
+        lease_ms: How long an announcement is valid without a renewal.
     """
 
-    __slots__ = ("lease_ms", "by_name", "until_ms", "farewells")
+    __slots__ = ("lease_ms", "by_name", "until_ms", "deregistrations")
 
     def __init__(self, lease_ms: int) -> None:
         self.lease_ms = lease_ms
-        self.farewells: dict[str, Farewell] = {}
+        self.deregistrations: dict[str, Deregistration] = {}
         self.by_name: dict[str, Announcement] = {}
         self.until_ms: dict[str, int] = {}
 
     def put(self, announcement: Announcement, now_ms: int) -> bool:
-        """Take an announcement or renewal; return whether it is news.
+        """Store an announcement or renewal.
+
+        Returns:
+            Whether the target is new or its record or port has changed.
 
         Raises:
             ProtocolError: The host has too many targets.
@@ -157,18 +168,21 @@
         )
 
     def is_stale(self, announcement: Announcement, now_ms: int) -> bool:
-        """Tell whether an announcement was overtaken on its way.
+        """Return whether an announcement is outdated.
 
-        A word that was held up may arrive after its sender has said
-        farewell, or crashed and made room for another at its address. Taken
-        at its word, it would lead requests to a target that is not there.
+        A delayed announcement may arrive after its target has deregistered,
+        or has crashed and another one uses its port. If it were accepted,
+        requests would go to a target that is not there.
         """
         name = announcement.record.name
         if not announcement.incarnation:
             return False
-        farewell = self.farewells.get(name)
-        if farewell is not None and announcement.incarnation <= farewell.ended:
-            if not farewell.until_ms or now_ms < farewell.until_ms:
+        deregistration = self.deregistrations.get(name)
+        if (
+            deregistration is not None
+            and announcement.incarnation <= deregistration.max_incarnation
+        ):
+            if not deregistration.until_ms or now_ms < deregistration.until_ms:
                 return True
         return any(
             announcement.order < other.order
@@ -177,7 +191,7 @@
         )
 
     def replaced_by(self, announcement: Announcement) -> list[str]:
-        """Return earlier targets at the port of one that started later."""
+        """Return the earlier targets at the port of one that started later."""
         return [
             name
             for name, other in self.by_name.items()
@@ -189,45 +203,55 @@
     def deregister(
         self, name: str, incarnation: int, now_ms: int, wall_ms: int
     ) -> bool:
-        """Note that a target leaves for good; False if it is too late.
+        """Record that a target leaves.
 
-        A proxy that restarted beside a target may hear its farewell before
-        any announcement. Which life ends is then not known, and an
-        announcement that was held up would bring the target back after its
-        farewell was acknowledged: its callers' requests go to a target that
-        is leaving. All lives that began before the farewell count as ended,
-        for as long as such an announcement may be on its way; not longer,
-        since the time of day may be ahead of the next life's start.
+        A proxy that restarted while a target kept running may receive the
+        deregistration before any announcement. The incarnation is then
+        unknown, and a delayed announcement would register the target again
+        after its deregistration was acknowledged: requests would go to a
+        target that is leaving. So every incarnation that began before the
+        deregistration counts as ended, but only for as long as such an
+        announcement may be delayed: this host's time of day may be ahead of
+        the start time that the next incarnation reports.
 
         Args:
             name: Its name.
-            incarnation: The life that ends; 0 for the one that is known.
+            incarnation: The incarnation that ends; 0 for the known one.
             now_ms: The time on the runtime's clock.
             wall_ms: The time of day, Unix time in milliseconds.
+
+        Returns:
+            False if a later incarnation is known.
         """
         known = self.by_name.get(name)
         if known is not None and incarnation:
             if incarnation < known.incarnation:
                 return False
-        ended = incarnation or (known.incarnation if known else 0)
-        if ended:
-            farewell = Farewell(ended)
+        max_incarnation = incarnation or (known.incarnation if known else 0)
+        if max_incarnation:
+            deregistration = Deregistration(max_incarnation)
         else:
-            farewell = Farewell(wall_ms, now_ms + MAX_ANNOUNCEMENT_DELAY_MS)
-        earlier = self.farewells.get(name)
-        if earlier is None or earlier.until_ms or earlier.ended < ended:
-            self.farewells[name] = farewell
-        while len(self.farewells) > MAX_FAREWELLS:
-            del self.farewells[next(iter(self.farewells))]
+            deregistration = Deregistration(
+                wall_ms, now_ms + MAX_ANNOUNCEMENT_DELAY_MS
+            )
+        earlier = self.deregistrations.get(name)
+        if (
+            earlier is None
+            or earlier.until_ms
+            or earlier.max_incarnation < max_incarnation
+        ):
+            self.deregistrations[name] = deregistration
+        while len(self.deregistrations) > MAX_DEREGISTRATIONS:
+            del self.deregistrations[next(iter(self.deregistrations))]
         return True
 
     def remove(self, name: str) -> bool:
-        """Drop a target that leaves; return whether it was here."""
+        """Remove a target; return whether it was known."""
         self.until_ms.pop(name, None)
         return self.by_name.pop(name, None) is not None
 
     def expired(self, now_ms: int) -> list[str]:
-        """Return the targets whose lease ran out."""
+        """Return the names of the targets whose lease has expired."""
         return [
             name
             for name, until_ms in self.until_ms.items()
@@ -235,11 +259,17 @@
         ]
 
     def records(self) -> list[messages.TargetRecord]:
-        """Return what other hosts learn, in order of name."""
+        """Return the records for other hosts, in order of name."""
         return [self.by_name[name].record for name in sorted(self.by_name)]
 
-    def describe(self, busy: typing.Callable[[str], int]) -> list[typing.Any]:
-        """Return the targets for people."""
+    def describe(
+        self, count_running: typing.Callable[[str], int]
+    ) -> list[typing.Any]:
+        """Return the targets as rows for operators.
+
+        Args:
+            count_running: Returns how many requests a target is running.
+        """
         names = {number: text for text, number in STATES.items()}
         return [
             {
@@ -247,7 +277,7 @@
                 "service": entry.record.service_name,
                 "version": entry.record.version,
                 "slots": entry.record.slots,
-                "running": busy(name),
+                "running": count_running(name),
                 "state": names[entry.record.state],
             }
             for name, entry in sorted(self.by_name.items())
--- a/libs/daemon/src/trefoil_daemon/control.py
+++ b/libs/daemon/src/trefoil_daemon/control.py
@@ -1,4 +1,4 @@
-"""``trefoilroute-control``: the daemon on the few hosts with a disk."""
+"""``trefoilroute-control``: the daemon of the control hosts."""
 
 import random
 import typing
@@ -12,14 +12,14 @@
 from . import identities
 from . import runtime
 
-ADMIN_BODY = 4 * 1024 * 1024
+MAX_ADMIN_BODY_BYTES = 4 * 1024 * 1024
 
 
 class ControlDaemon(runtime.Runtime):
-    """The control process's runtime."""
+    """The runtime of a control process."""
 
     def start_control(self, settings: setting_store.ControlSettings) -> None:
-        """Open the ports, the data folder and the engine."""
+        """Open the ports and the data folder, and build the engine."""
         clock = self.system_clock
         port = self.hub.listen(settings.peers)
         host = settings.peers.rpartition(":")[0]
@@ -37,7 +37,9 @@
                 "control.started",
                 {
                     "identity": self.engine.raft.identity,
-                    "admin": self.serve_operators(settings.admin, ADMIN_BODY),
+                    "admin": self.serve_operators(
+                        settings.admin, MAX_ADMIN_BODY_BYTES
+                    ),
                     "peers": port,
                     "revision": self.engine.state.items.revision,
                 },
@@ -45,7 +47,7 @@
         )
 
     def leave(self) -> None:
-        """End the process; what it acknowledged is on its disk."""
+        """End the process; everything it acknowledged is on its disk."""
         raft = self.engine.raft
         self.note(
             common.Note(
@@ -56,18 +58,18 @@
         super().leave()
 
     def reconfigure(self, settings: typing.Any) -> None:
-        """Take changed settings; the ports stay as they are."""
+        """Apply changed settings; the ports stay as they are."""
         self.engine.reconfigure(settings)
 
 
 def initialise(settings: setting_store.ControlSettings) -> bool:
-    """Prepare a data folder for a control process's first life.
+    """Prepare a data folder for the first start of a control process.
 
-    Only for a new deployment: a process that lost its disk must not be given
-    its first identity again, since its promises are forgotten.
+    Only for a new deployment: a process that lost its disk must not get its
+    first identity again, because the votes it gave under it are lost.
 
     Returns:
-        False if the folder holds a store already.
+        False if the folder already holds a store.
     """
     disk = disks.FolderDisk(settings.data_folder)
     if disk.read(stores.HARD_STATE_FILE) is not None:
@@ -77,7 +79,7 @@
 
 
 def run(settings: setting_store.ControlSettings) -> None:
-    """Run a control process until it is told to end."""
+    """Run a control process until it receives a signal to end."""
     daemon = ControlDaemon(settings.host, settings.log_level, settings.statsd)
     daemon.start_control(settings)
     daemon.settle()
--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -122,7 +122,7 @@
         self.join_at_ms = now_ms
         self.asked: dict[str, str] = {}
         self.listed_index = 0
-        self.floors = floor_words.FloorConfirmations(self)
+        self.confirmations = floor_words.FloorConfirmations(self)
         self.unpublished = False
 
     def _open_agreement(self, driver: facade.Driver, now_ms: int) -> None:
@@ -181,13 +181,13 @@
         What comes after it may vouch for it, here and in the lists that led
         to this one.
         """
-        refusals = self.durability.refusals
+        failed_writes = self.durability.failed_writes
         for effect in effects:
             try:
                 self.execute(effect)
             except errors.DiskRefused as error:
                 self._suspend(str(error))
-            if self.durability.refusals != refusals:
+            if self.durability.failed_writes != failed_writes:
                 return
         if self.unpublished:
             self._publish()
@@ -563,7 +563,7 @@
         """
         now_ms = self.clock.now_ms()
         self.driver.note(common.Note("store.failed", {"why": why}, "error"))
-        self.durability.refused(now_ms)
+        self.durability.record_failure(now_ms)
         self.raft.retire()
         for found in list(self.reads.values()):
             found[1]()
@@ -578,10 +578,10 @@
             self.store.save_hard_state(self.store.hard_state)
         except OSError:
             # Logged when it began; each try would only repeat that.
-            self.durability.refused(now_ms)
+            self.durability.record_failure(now_ms)
             self.raft.retire()
             return
-        self.durability.works()
+        self.durability.record_recovery()
         self.listed_index = 0
         self.driver.note(
             common.Note("store.works_again", {"identity": self.raft.identity})
@@ -609,7 +609,7 @@
         if not self.durability.failed:
             self.perform(self.raft.tick(now_ms))
         self.node.set_leader(rafts.process_name(self.raft.leader))
-        self.floors.tick()
+        self.confirmations.tick()
         self.evacuations.tick()
         heard = now_ms - self.raft.last_received_ms < LED_MS
         self.node.set_leader_known(self.raft.is_leader or heard)
@@ -691,7 +691,7 @@
 
 @execute.register
 def _(effect: fleet_effects.AskFloor, process: ControlProcess) -> None:
-    process.floors.ask(effect.nonce)
+    process.confirmations.ask(effect.nonce)
 
 
 @execute.register
--- a/libs/daemon/src/trefoil_daemon/dialect.py
+++ b/libs/daemon/src/trefoil_daemon/dialect.py
@@ -1,23 +1,24 @@
-"""The names that callers and targets know the proxy's headers by."""
+"""Names of the proxy's headers towards callers and targets."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Dialect:
-    """Header names towards callers and targets; empty leaves one out.
+    """Header names; an empty name disables the header.
 
     Args:
-        deadline: Milliseconds that the sender still waits.
-        retried: Tells targets that a proxy retries the chain already.
-        not_run: A target's word that it did not run a request.
-        request_id: The caller's id of a request. Targets repeat it, which
-            shows an answer to another request.
+        deadline: How many milliseconds longer the sender waits.
+        retried: Tells targets that a proxy already retries this call chain.
+        not_run: Set by a target on an answer to a request that it did not
+            run.
+        request_id: The caller's id of a request. Targets return it, so that
+            an answer to another request is detected.
         caller_service: Service of the host where a request began.
         target: Name of the target that a request is meant for; another one
             at its address must answer 421.
         retry_fractions: Whether Retry-After may have fractions of seconds.
-        warmup_left: A target's word in answers to health checks, how many
+        warmup_left: Set by a target in answers to health checks: how many
             milliseconds longer it is cold.
     """
 
--- a/libs/daemon/src/trefoil_daemon/durability.py
+++ b/libs/daemon/src/trefoil_daemon/durability.py
@@ -1,11 +1,12 @@
-"""Whether a control process may vouch for what it is told to keep.
-
-A disk that is full refuses writes for seconds and then takes them again. The
-agreement core has an entry in memory before the disk is asked, and its next
-reply would vouch for it. So from the first refusal on the process takes no
-part in the agreement: it neither votes, nor leads, nor acknowledges. Once
-the disk takes writes again it goes on from what the disk holds, like a
-process that has just started, but without the time that a start takes.
+"""Failed writes of a control process, and when it may write again.
+
+A full disk refuses writes for seconds and then accepts them again. The
+agreement core holds an entry in memory before it is written, so its next
+reply would acknowledge an entry that is not on disk. Therefore the process
+takes no part in the agreement from the first failed write on: it does not
+vote, lead or acknowledge. Once the disk accepts writes again it resumes from
+the state on disk, like a process that has just started but without the time
+that a start takes.
 """
 
 import collections.abc
@@ -13,41 +14,47 @@
 
 from trefoil_model import errors
 
-RETRY_MS = 500
+RETRY_INTERVAL_MS = 500
 
 
 class Durability:
-    """What is known of the disk of one control process."""
+    """Whether the disk of a control process accepts writes.
 
-    __slots__ = ("failed", "refusals", "retry_at_ms")
+    Attributes:
+        failed: Whether the last write failed.
+        failed_writes: How many writes have failed.
+        retry_at_ms: When the disk is tried again.
+    """
+
+    __slots__ = ("failed", "failed_writes", "retry_at_ms")
 
     def __init__(self) -> None:
         self.failed = False
-        self.refusals = 0
+        self.failed_writes = 0
         self.retry_at_ms = 0
 
     @contextlib.contextmanager
     def write(self) -> collections.abc.Iterator[None]:
-        """Write to the disk.
+        """Wrap a write to the disk.
 
         Raises:
-            DiskRefused: The disk did not take it.
+            DiskRefused: The write failed.
         """
         try:
             yield
         except OSError as error:
             raise errors.DiskRefused(str(error))
 
-    def refused(self, now_ms: int) -> None:
-        """Note a write that the disk did not take."""
+    def record_failure(self, now_ms: int) -> None:
+        """Record a failed write."""
         self.failed = True
-        self.refusals += 1
-        self.retry_at_ms = now_ms + RETRY_MS
+        self.failed_writes += 1
+        self.retry_at_ms = now_ms + RETRY_INTERVAL_MS
 
     def is_due(self, now_ms: int) -> bool:
-        """Tell whether the disk should be tried again."""
+        """Return whether the disk should be tried again."""
         return self.failed and now_ms >= self.retry_at_ms
 
-    def works(self) -> None:
-        """Note that the disk takes writes again."""
+    def record_recovery(self) -> None:
+        """Record that the disk accepts writes again."""
         self.failed = False
--- a/libs/daemon/src/trefoil_daemon/evacuations.py
+++ b/libs/daemon/src/trefoil_daemon/evacuations.py
@@ -1,9 +1,9 @@
-"""Evacuations asked for by callers that number nothing.
+"""Evacuation calls from an interface without command ids.
 
-Such a call is sent again to any control host until it is answered, and the
-same call may come anew hours later, so it can't be known by its content. Each
-call becomes a command of its own that runs only if the failure domain did not
-change since this host last knew.
+A caller repeats such a call to any control host until it is answered, and may
+make the same call again hours later, so the content can't identify it. Each
+call becomes a separate command, which runs only if the failure domain has not
+changed since the revision that this host knows.
 """
 
 import dataclasses
@@ -18,12 +18,12 @@
 if typing.TYPE_CHECKING:
     from . import control_process
 
-# A host that lags learns from the first refusal; changes by others come
-# seconds apart.
-MOST_TRIES = 4
-# A connection that its caller has closed is known to be closed after the poll
-# that follows; between two ticks there is one.
-TICKS_HELD = 2
+# A lagging host learns the newest revision from the first refusal; changes by
+# others are seconds apart.
+MAX_ATTEMPTS = 4
+# A connection that the caller has closed is detected by the next poll, and
+# there is one between two ticks.
+HOLD_TICKS = 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -31,85 +31,85 @@
     """A call that is not answered yet.
 
     Args:
-        wanted: What is asked for.
-        operator: Who asks.
-        still_waits: Tells whether the caller still waits for the answer.
-        reply: Takes the answer.
-        ticks: How many ticks it has been held.
-        tries: How often it was submitted.
-        known: The newest revision that this host knew, 0 before the first
-            try.
+        request: The evacuation or its withdrawal.
+        operator: Name of the operator.
+        is_caller_waiting: Returns whether the caller is still connected.
+        reply: Receives the answer.
+        ticks: For how many ticks it has been held.
+        attempts: How often it was submitted.
+        newest_revision: The newest revision that this host knew, 0 before
+            the first attempt.
     """
 
-    wanted: messages.EvacuateDomain
+    request: messages.EvacuateDomain
     operator: str
-    still_waits: typing.Callable[[], bool]
+    is_caller_waiting: typing.Callable[[], bool]
     reply: operators.OnReply
     ticks: int = 0
-    tries: int = 0
-    known: int = 0
+    attempts: int = 0
+    newest_revision: int = 0
 
 
 class EvacuationCalls:
-    """Makes commands of evacuations and follows them to an answer.
+    """Submits evacuation calls as commands until they are answered.
 
-    A call that stood unread while this host was frozen was answered by
-    another host since, and its caller has hung up; so calls are held until
-    that would show.
+    While this host is frozen, a call may wait unread and its caller may
+    disconnect and get its answer from another host. Calls are therefore held
+    until such a disconnection would be detected.
 
     Args:
         process: The control process.
     """
 
-    __slots__ = ("process", "numbers", "held")
+    __slots__ = ("process", "counter", "held")
 
     def __init__(self, process: "control_process.ControlProcess") -> None:
         self.process = process
-        self.numbers = itertools.count(1)
+        self.counter = itertools.count(1)
         self.held: list[EvacuationCall] = []
 
     def ask(self, call: EvacuationCall) -> None:
-        """Evacuate a failure domain, or take it back."""
+        """Queue a call that evacuates a failure domain or withdraws that."""
         self.held.append(call)
 
     def tick(self) -> None:
-        """Submit the calls that were held for long enough."""
+        """Submit the calls that were held for ``HOLD_TICKS``."""
         held, self.held = self.held, []
         for call in held:
             call.ticks += 1
-            if call.ticks < TICKS_HELD:
+            if call.ticks < HOLD_TICKS:
                 self.held.append(call)
             else:
                 self._submit(call)
 
     def _submit(self, call: EvacuationCall) -> None:
-        if not call.still_waits():
+        if not call.is_caller_waiting():
             return
         newest = self.process.state.items.revision
-        call.known = max(call.known, newest, 1)
-        call.wanted.known_revision = call.known
-        call.tries += 1
+        call.newest_revision = max(call.newest_revision, newest, 1)
+        call.request.known_revision = call.newest_revision
+        call.attempts += 1
         self.process.submit(
-            self._command(call), lambda answer: self._told(call, answer)
+            self._command(call), lambda answer: self._on_reply(call, answer)
         )
 
-    def _told(
+    def _on_reply(
         self, call: EvacuationCall, answer: messages.CommandReply
     ) -> None:
-        """Pass an answer on, or try again where this host lagged."""
+        """Pass on an answer, or retry if this host lagged."""
         conflict = answer.cause == messages.Cause.CONFLICT
-        if not conflict or call.tries == MOST_TRIES:
+        if not conflict or call.attempts == MAX_ATTEMPTS:
             call.reply(answer)
             return
-        call.known = answer.revision
+        call.newest_revision = answer.revision
         self._submit(call)
 
     def _command(self, call: EvacuationCall) -> messages.Command:
-        kind, data = frames.pack_any(call.wanted)
+        kind, data = frames.pack_any(call.request)
         wall_ms = self.process.clock.wall_ms()
         host = self.process.settings.host
         return messages.Command(
-            command_id=f"evacuation-{host}-{wall_ms}-{next(self.numbers)}",
+            command_id=f"evacuation-{host}-{wall_ms}-{next(self.counter)}",
             operator_name=call.operator,
             issued_ms=wall_ms,
             kind=kind,
--- a/libs/daemon/src/trefoil_daemon/facade.py
+++ b/libs/daemon/src/trefoil_daemon/facade.py
@@ -1,8 +1,8 @@
-"""The facade that a whole process is driven through.
+"""The interface between a process engine and its input and output.
 
 A process engine (``ProxyProcess``, ``ControlProcess``) does no input or
-output of its own. A daemon gives it a ``Carrier`` over circuits; a test or a
-bench gives it one in memory, with its own clock, random generator and disk.
+output itself. A daemon passes it a ``Driver`` over circuits; a test or a
+benchmark passes one in memory, with its own clock, random generator and disk.
 """
 
 import typing
@@ -14,10 +14,10 @@
 
 
 class Driver(typing.Protocol):
-    """What a process engine needs carried."""
+    """The input and output that a process engine needs."""
 
     def link_send(self, host: str, message: typing.Any) -> None:
-        """Send on a subscribed link; dropped if there is none."""
+        """Send on a subscribed link; drop the message if there is none."""
 
     def dial(self, host: str, address: str) -> None:
         """Open a subscribed link."""
@@ -31,13 +31,17 @@
     def request_send(
         self, host: str, address: str, message: typing.Any
     ) -> bool:
-        """Send on a request link; False if the peer can't be reached."""
+        """Send on a request link; open one if there is none.
+
+        Returns:
+            False if there is neither a link nor an address.
+        """
 
     def reply(self, origin: str, message: typing.Any) -> None:
-        """Answer on the connection that a message came by."""
+        """Reply on the connection that a message was received on."""
 
     def finish(self, final: calls.Final) -> None:
-        """Give a caller its final answer."""
+        """Send a caller its final answer."""
 
     def dispatch(self, effect: request_effects.Dispatch) -> None:
         """Run a request on a local target."""
@@ -46,12 +50,12 @@
         """Stop waiting for a local target."""
 
     def limit_callers(self, limits: messages.CallerLimits) -> None:
-        """Take the configuration's limits for callers."""
+        """Apply the configuration's limits for callers."""
 
     def check_target(self, effect: request_effects.CheckTarget) -> None:
-        """Find out whether a local target takes connections.
+        """Connect to a local target once.
 
-        The engine's ``target_checked`` is told.
+        Calls the engine's ``target_checked`` with the result.
         """
 
     def check_warmup(
@@ -59,7 +63,7 @@
     ) -> None:
         """Ask a local target how much longer it is cold.
 
-        The engine's ``target_warmup`` is told.
+        Calls the engine's ``target_warmup`` with the answer.
         """
 
     def note(self, note: common.Note) -> None:
@@ -69,4 +73,4 @@
         """Add to a metric."""
 
     def observe(self, effect: request_effects.Observe) -> None:
-        """Record a latency by tenant."""
+        """Record the latency of a request under its tenant."""
--- a/libs/daemon/src/trefoil_daemon/floor_words.py
+++ b/libs/daemon/src/trefoil_daemon/floor_words.py
@@ -1,4 +1,4 @@
-"""A control process's words on the floor of proxies that restarted."""
+"""Floor confirmations that a control process sends to restarted proxies."""
 
 import typing
 
@@ -11,24 +11,24 @@
     from . import control_process
 
 COMMAND_CODE = frames.CODES[messages.CommandRequest]
-MOST = 1 << 30
+ALL_ENTRIES = 1 << 30
 
 
 class FloorConfirmations:
-    """Answers the questions that the fleet core passes on.
+    """Answers the floor queries that the fleet core passes on.
 
     Args:
         process: The control process.
     """
 
-    __slots__ = ("process", "waiting")
+    __slots__ = ("process", "deferred")
 
     def __init__(self, process: "control_process.ControlProcess") -> None:
         self.process = process
-        self.waiting: list[int] = []
+        self.deferred: list[int] = []
 
     def ask(self, nonce: int) -> None:
-        """Find the newest revision for a restarted proxy."""
+        """Answer a query as a voter, and pass it on to the leader."""
         process = self.process
         raft = process.raft
         if raft.identity in raft.voters:
@@ -41,46 +41,49 @@
         self._ask_leader(nonce)
 
     def tick(self) -> None:
-        """Ask the leader, if there is one, what waited for it."""
+        """Repeat the deferred queries once there is a leader."""
         if not self.process.raft.leader:
             return
-        waiting, self.waiting = self.waiting, []
-        for nonce in waiting:
+        deferred, self.deferred = self.deferred, []
+        for nonce in deferred:
             self._ask_leader(nonce)
 
     def _ask_leader(self, nonce: int) -> None:
-        """Get the leader's word; kept until somebody leads.
+        """Get a confirmation from the leader; defer it if there is none.
 
-        Proxies that all restarted ask before there is a leader. Left to ask
-        again, they would refuse their callers for another turn after it.
+        Proxies that restart together with the control hosts send their
+        queries before a leader is elected. If these were dropped, the proxies
+        would refuse their callers until they repeat the query.
         """
         process = self.process
         leader = rafts.process_name(process.raft.leader)
         if process.raft.is_leader:
             process.read(
-                lambda: self._tell(nonce),
-                lambda: self._keep(nonce),
+                lambda: self._send_leader_confirmation(nonce),
+                lambda: self._defer(nonce),
             )
         elif leader in process.node.links:
             process.driver.link_send(
                 leader, messages.FloorQuery(nonce, process.settings.host)
             )
         else:
-            self._keep(nonce)
+            self._defer(nonce)
 
-    def _keep(self, nonce: int) -> None:
-        self.waiting.append(nonce)
-        del self.waiting[: -nodes.MAX_FLOOR_RELAYS]
+    def _defer(self, nonce: int) -> None:
+        self.deferred.append(nonce)
+        del self.deferred[: -nodes.MAX_FLOOR_RELAYS]
 
     def _newest_known(self) -> int:
-        """Return a revision that nothing acknowledged is above."""
+        """Return a revision that no acknowledged command exceeds."""
         raft = self.process.raft
-        for entry in reversed(raft.log.slice_from(raft.applied + 1, MOST)):
+        for entry in reversed(
+            raft.log.slice_from(raft.applied + 1, ALL_ENTRIES)
+        ):
             if rafts.type_code(entry) == COMMAND_CODE:
                 return entry.index
         return self.process.state.items.revision
 
-    def _tell(self, nonce: int) -> None:
+    def _send_leader_confirmation(self, nonce: int) -> None:
         process = self.process
         process.perform(
             process.node.send_leader_confirmation(
--- a/libs/daemon/tests/test_announcements.py
+++ b/libs/daemon/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements that cross, come late or follow a restart."""
+"""Announcements that are reordered, delayed or sent after a restart."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("late", "taken"),
+    ("late", "accepted"),
     [
         (announcement("a", 10, 5), True),
         (announcement("a", 10, 3), False),
@@ -29,69 +29,69 @@
         (announcement("b", 9, 1, port=8081), True),
     ],
 )
-def test_a_late_word_is_dropped(
-    late: announcements.Announcement, taken: bool
+def test_a_stale_announcement_is_dropped(
+    late: announcements.Announcement, accepted: bool
 ) -> None:
-    """A word was held up while its target went on or made room.
+    """An announcement is delayed while its target goes on or is replaced.
 
-    Taken at its word, a crashed target would get requests again, at an
-    address where another one runs by now.
+    If it were accepted, requests for a crashed target would be sent to a
+    port that another target uses by then.
     """
-    made = announcements.Announcements(LEASE_MS)
-    made.put(announcement("a", 10, 4), 0)
-    made.put(late, 2000)
+    registry = announcements.Announcements(LEASE_MS)
+    registry.put(announcement("a", 10, 4), 0)
+    registry.put(late, 2000)
     name = late.record.name
-    assert (made.until_ms.get(name) == 2000 + LEASE_MS) is taken
+    assert (registry.until_ms.get(name) == 2000 + LEASE_MS) is accepted
 
 
-def test_a_word_from_before_the_farewell_is_dropped() -> None:
-    """A target says farewell; its last renewal arrives after that."""
-    made = announcements.Announcements(LEASE_MS)
-    made.put(announcement("a", 10, 4), 0)
-    assert made.deregister("a", 0, 50, 20)
-    made.remove("a")
-    made.put(announcement("a", 10, 5), 100)
-    assert made.by_name == {}
-    made.put(announcement("a", 11, 1), 200)
-    assert list(made.by_name) == ["a"]
+def test_an_announcement_sent_before_deregistration_is_dropped() -> None:
+    """A target deregisters; its last renewal arrives after that."""
+    registry = announcements.Announcements(LEASE_MS)
+    registry.put(announcement("a", 10, 4), 0)
+    assert registry.deregister("a", 0, 50, 20)
+    registry.remove("a")
+    registry.put(announcement("a", 10, 5), 100)
+    assert registry.by_name == {}
+    registry.put(announcement("a", 11, 1), 200)
+    assert list(registry.by_name) == ["a"]
 
 
-def test_a_farewell_binds_a_proxy_that_did_not_know_the_target() -> None:
-    """A proxy restarts beside a target that then says farewell.
+def test_deregistration_of_an_unknown_target_is_recorded() -> None:
+    """A proxy restarts while a target runs that then deregisters.
 
-    It hears the farewell first and acknowledges it; two seconds later an
-    announcement from before arrives. Taken at its word, the target that
-    leaves would get its callers' requests again.
+    The proxy acknowledges the deregistration before it knows the target; two
+    seconds later an earlier announcement arrives. If it were accepted, the
+    leaving target would get requests again.
     """
-    made = announcements.Announcements(LEASE_MS)
-    assert made.deregister("a", 0, now_ms=100, wall_ms=5000)
-    made.put(announcement("a", 4000, 9), 2300)
-    assert made.by_name == {}
-
-
-def test_a_farewell_leaves_room_for_the_next_life() -> None:
-    """A target comes back under its name, by a clock that is behind."""
-    made = announcements.Announcements(LEASE_MS)
-    made.deregister("a", 0, now_ms=100, wall_ms=5000)
-    made.put(announcement("a", 5001, 1), 2300)
-    assert list(made.by_name) == ["a"]
-    made.deregister("b", 0, now_ms=100, wall_ms=5000)
-    made.put(announcement("b", 4900, 1, port=8081), 2300)
-    assert list(made.by_name) == ["a"]
+    registry = announcements.Announcements(LEASE_MS)
+    assert registry.deregister("a", 0, now_ms=100, wall_ms=5000)
+    registry.put(announcement("a", 4000, 9), 2300)
+    assert registry.by_name == {}
+
+
+def test_a_target_can_return_after_its_deregistration() -> None:
+    """A target returns under its name; its clock may be behind."""
+    registry = announcements.Announcements(LEASE_MS)
+    registry.deregister("a", 0, now_ms=100, wall_ms=5000)
+    registry.put(announcement("a", 5001, 1), 2300)
+    assert list(registry.by_name) == ["a"]
+    registry.deregister("b", 0, now_ms=100, wall_ms=5000)
+    registry.put(announcement("b", 4900, 1, port=8081), 2300)
+    assert list(registry.by_name) == ["a"]
     later_ms = 100 + announcements.MAX_ANNOUNCEMENT_DELAY_MS
-    made.put(announcement("b", 4900, 8, port=8081), later_ms)
-    assert list(made.by_name) == ["a", "b"]
+    registry.put(announcement("b", 4900, 8, port=8081), later_ms)
+    assert list(registry.by_name) == ["a", "b"]
 
 
-def test_a_late_farewell_does_not_end_the_next_life() -> None:
-    made = announcements.Announcements(LEASE_MS)
-    made.put(announcement("a", 11, 1), 0)
-    assert not made.deregister("a", 10, 0, 20)
-    assert made.deregister("a", 11, 0, 20)
+def test_a_late_deregistration_does_not_end_the_next_incarnation() -> None:
+    registry = announcements.Announcements(LEASE_MS)
+    registry.put(announcement("a", 11, 1), 0)
+    assert not registry.deregister("a", 10, 0, 20)
+    assert registry.deregister("a", 11, 0, 20)
 
 
-def test_one_that_started_later_takes_the_port() -> None:
-    made = announcements.Announcements(LEASE_MS)
-    made.put(announcement("a", 10, 4), 0)
-    assert made.replaced_by(announcement("b", 12, 1)) == ["a"]
-    assert made.replaced_by(announcement("b", 9, 1)) == []
+def test_a_target_that_started_later_replaces_one_at_its_port() -> None:
+    registry = announcements.Announcements(LEASE_MS)
+    registry.put(announcement("a", 10, 4), 0)
+    assert registry.replaced_by(announcement("b", 12, 1)) == ["a"]
+    assert registry.replaced_by(announcement("b", 9, 1)) == []
--- a/libs/daemon/tests/test_evacuations.py
+++ b/libs/daemon/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations on their way through the control processes."""
+"""Evacuation calls that are submitted to a control process."""
 
 import pytest
 
@@ -15,10 +15,10 @@
 
 
 class Caller:
-    """Someone who calls, and may hang up."""
+    """A caller that may disconnect before it is answered."""
 
     def __init__(self) -> None:
-        self.waits = True
+        self.is_waiting = True
         self.replies: list[messages.CommandReply] = []
 
     def ask(
@@ -28,27 +28,27 @@
         evacuated: bool = True,
         domain: str = DOMAIN,
     ) -> None:
-        """Call a control process."""
-        wanted = messages.EvacuateDomain(domain, evacuated)
+        """Send an evacuation call to a control process."""
+        request = messages.EvacuateDomain(domain, evacuated)
         call = evacuations.EvacuationCall(
-            wanted, "ann", lambda: self.waits, self.replies.append
+            request, "ann", lambda: self.is_waiting, self.replies.append
         )
         net.processes[at].evacuations.ask(call)
 
     @property
     def outcomes(self) -> list[int]:
-        """Return what came of the call."""
+        """Return the outcomes that were received."""
         return [reply.outcome for reply in self.replies]
 
 
 def evacuated(net: control_net.Net, at: str) -> bool:
-    """Tell whether a process knows the domain as evacuated."""
+    """Return whether a process has the domain as evacuated."""
     key = item_store.EVACUATION + DOMAIN
     return net.processes[at].state.items.get(key) is not None
 
 
 def follower_of(net: control_net.Net) -> str:
-    """Return a process that does not lead."""
+    """Return the name of a process that is not the leader."""
     (leader,) = net.leaders()
     return next(name for name in net.processes if name != leader)
 
@@ -62,27 +62,27 @@
     assert all(evacuated(net, name) for name in net.processes)
 
 
-def test_the_same_call_comes_anew_after_a_withdrawal() -> None:
-    """Known by its content, the second evacuation would change nothing."""
+def test_a_domain_can_be_evacuated_again_after_a_withdrawal() -> None:
+    """If calls were identified by content, the second would be ignored."""
     net = control_net.founded()
     at = follower_of(net)
-    for wanted in (True, False, True):
+    for expected in (True, False, True):
         caller = Caller()
-        caller.ask(net, at, wanted)
+        caller.ask(net, at, expected)
         net.run(500)
         assert caller.outcomes == [Outcome.DONE]
-        assert evacuated(net, at) == wanted
+        assert evacuated(net, at) == expected
 
 
-def test_a_process_that_lags_asks_once_more_for_its_caller() -> None:
-    """It has not heard that the domain was evacuated before."""
+def test_a_lagging_process_retries_for_its_caller() -> None:
+    """Its revision is older than the domain's evacuation."""
     net = control_net.founded()
     (leader,) = net.leaders()
     at = follower_of(net)
     Caller().ask(net, leader)
     net.run(500)
-    behind = net.processes[at].state.items
-    behind.revision = 1
+    items = net.processes[at].state.items
+    items.revision = 1
     caller = Caller()
     caller.ask(net, at, False)
     net.run(500)
@@ -90,19 +90,19 @@
     assert not evacuated(net, leader)
 
 
-def test_a_call_that_stood_unread_is_not_run() -> None:
-    """Its host was frozen; another has answered, and the caller hung up."""
+def test_a_call_whose_caller_disconnected_is_not_run() -> None:
+    """The host was frozen; another answered and the caller disconnected."""
     net = control_net.founded()
     caller = Caller()
     caller.ask(net, follower_of(net))
-    caller.waits = False
+    caller.is_waiting = False
     net.run(500)
     assert caller.replies == []
     assert not any(evacuated(net, name) for name in net.processes)
 
 
-def test_a_slip_in_the_name_is_refused() -> None:
-    """Acknowledged, the domain that was meant would go on getting calls."""
+def test_an_unknown_domain_is_refused() -> None:
+    """A typo must not be acknowledged as the evacuation of a domain."""
     net = control_net.founded()
     for process in net.processes.values():
         process.settings.domains = [DOMAIN, "ariana"]
@@ -114,11 +114,11 @@
     assert reply.cause == messages.Cause.INVALID
 
 
-@pytest.mark.parametrize("wiped", [0, 1])
-def test_an_acknowledged_evacuation_outlives_the_loss_of_all(
-    wiped: int,
+@pytest.mark.parametrize("wiped_disks", [0, 1])
+def test_an_acknowledged_evacuation_survives_a_power_loss_of_all(
+    wiped_disks: int,
 ) -> None:
-    """All lose power right after the answer, one its disk as well."""
+    """All hosts lose power right after the answer; one may lose its disk."""
     net = control_net.founded("10.0.0.9")
     caller = Caller()
     caller.ask(net, follower_of(net))
@@ -127,7 +127,7 @@
     names = list(net.processes)
     for name in names:
         net.stop(name)
-    for name in names[:wiped]:
+    for name in names[:wiped_disks]:
         net.disks[name] = disks.MemoryDisk()
     for name in names:
         net.start(name, found=False)
@@ -137,7 +137,7 @@
 
 
 def test_an_evacuation_without_a_leader_is_answered_pending() -> None:
-    """Not run would be a guess: it may be agreed once there is a leader."""
+    """It may still be agreed once there is a leader, so not "not run"."""
     net = control_net.founded()
     at = follower_of(net)
     net.cut({at}, set(net.processes) - {at})
@@ -147,15 +147,15 @@
     assert caller.outcomes == [Outcome.PENDING]
 
 
-def test_the_status_tells_what_is_evacuated() -> None:
+def test_show_evacuations_lists_evacuated_domains() -> None:
     net = control_net.founded()
     (leader,) = net.leaders()
     Caller().ask(net, leader)
     net.run(500)
     process = net.processes[leader]
-    knowledge = queries.QueryContext(
+    context = queries.QueryContext(
         process.state, process.node, process.raft, net.clock.now_ms()
     )
-    (row,) = queries.answer(statements.ShowEvacuations(), knowledge)
+    (row,) = queries.answer(statements.ShowEvacuations(), context)
     assert (row["domain"], row["by"]) == (DOMAIN, "ann")
     assert row["since"].endswith("Z")
