--- a/libs/daemon/src/trefoil_daemon/health.py
+++ b/libs/daemon/src/trefoil_daemon/health.py
@@ -12,23 +12,23 @@
 
 
 class Owner(typing.Protocol):
-    """What health checks tell their process."""
+    """Callbacks of the process that runs health checks."""
 
     def target_warmup(self, target: str, left_ms: int) -> None:
-        """Take how much longer a target is cold."""
+        """Handle a target's report of how many milliseconds it stays cold."""
 
 
 class HealthChecks:
-    """Asks targets for what only they know of themselves.
+    """Asks targets how much longer they are cold.
 
-    A target that does not answer, or does not tell, leaves the process with
-    what it presumed.
+    If a target does not answer or its answer lacks the header, the process
+    keeps its estimate.
 
     Args:
-        transport: Carries the streams.
+        transport: Opens the streams.
         owner: The process.
-        ip: Address of this host, where its targets take requests.
-        dialect: The headers' names.
+        ip: Address of this host, where its targets accept requests.
+        dialect: The header names.
     """
 
     __slots__ = ("transport", "owner", "ip", "dialect")
@@ -47,28 +47,34 @@
         self.dialect = dialect
 
     def ask(self, target: str, port: int, path: str) -> None:
-        """Ask a target how much longer it is cold."""
+        """Send a health check to a target.
+
+        Args:
+            target: Name of the target.
+            port: Its port.
+            path: Path of its health check.
+        """
         reader = _http.MessageReader(_http.RESPONSE, MAX_BODY)
-        question = f"GET {path} HTTP/1.1\r\nHost: {self.ip}:{port}\r\n\r\n"
+        request = f"GET {path} HTTP/1.1\r\nHost: {self.ip}:{port}\r\n\r\n"
 
-        def opened(stream: transports.Stream) -> None:
-            stream.write(question.encode("latin-1", "replace"))
+        def send_request(stream: transports.Stream) -> None:
+            stream.write(request.encode("latin-1", "replace"))
 
-        def take(stream: transports.Stream, data: bytes) -> None:
+        def read_response(stream: transports.Stream, data: bytes) -> None:
             try:
                 message = reader.feed(data)
             except errors.ProtocolError:
-                # Garbage tells nothing; what was presumed holds.
+                # A malformed answer leaves the estimate unchanged.
                 stream.close()
                 return
             if message is not None:
                 stream.close()
-                self._told(target, message)
+                self._on_response(target, message)
 
-        stream = self.transport.connect(f"{self.ip}:{port}", opened)
-        stream.on_data = take
+        stream = self.transport.connect(f"{self.ip}:{port}", send_request)
+        stream.on_data = read_response
 
-    def _told(self, target: str, message: _http.Message) -> None:
-        left = message.field(self.dialect.warmup_left.lower())
-        if left.isascii() and left.isdigit():
-            self.owner.target_warmup(target, int(left))
+    def _on_response(self, target: str, message: _http.Message) -> None:
+        header = message.field(self.dialect.warmup_left.lower())
+        if header.isascii() and header.isdigit():
+            self.owner.target_warmup(target, int(header))
--- a/libs/daemon/src/trefoil_daemon/identities.py
+++ b/libs/daemon/src/trefoil_daemon/identities.py
@@ -1,8 +1,8 @@
-"""Identities of control processes, and the stores that carry them.
+"""Identities of control processes, and the stores that hold them.
 
-A process votes under an identity that lives as long as its disk. One that
-lost its disk comes back under a new identity, so that it can't break a
-promise that it has forgotten.
+A process votes under an identity that lasts as long as its disk. A process
+that lost its disk returns under a new identity, so that it can't contradict a
+vote that it no longer has on record.
 """
 
 import random
@@ -13,23 +13,28 @@
 from trefoil_store import store as stores
 from trefoil_wire import messages
 
-FIRST = "first"
+FIRST_SUFFIX = "first"
 FIRST_TERM = 1
 
 
 def first_identity(name: str) -> str:
-    """Return the identity of a control process's first life."""
-    return f"{name}#{FIRST}"
+    """Return the identity of a control process at its first start."""
+    return f"{name}#{FIRST_SUFFIX}"
 
 
 def create_founder_store(
     disk: disks.Disk, name: str, founders: list[str]
 ) -> None:
-    """Prepare a founder's data folder for its first life.
+    """Prepare a founder's data folder for its first start.
 
-    Every founder writes the same first entry, which names them all as the
-    voters. Two halves that start apart share these voters, so only one of
-    them can have a majority.
+    Every founder writes the same first entry, which makes all founders
+    voters. If the founders start partitioned, both sides know the same
+    voters, so only one side can have a majority.
+
+    Args:
+        disk: The founder's disk.
+        name: Its name.
+        founders: Names of all founders.
     """
     store = stores.Store.create(disk, first_identity(name))
     voters = [first_identity(founder) for founder in founders]
@@ -51,12 +56,12 @@
 def open_store(
     disk: disks.Disk, name: str, rng: random.Random
 ) -> tuple[stores.Store, str]:
-    """Open a control process's store.
+    """Open the store of a control process, or create an empty one.
 
     Args:
         disk: Its disk.
         name: Its name.
-        rng: Draws a new identity where the old one is lost.
+        rng: Source of a new identity if the old one is lost.
 
     Returns:
         The store, and why its identity is new (empty if it is not).
@@ -69,7 +74,7 @@
         why = f"the store is damaged: {error}"
     if not why:
         return store, ""
-    # The old identity may have promised votes that are forgotten now. Under
-    # a new one this process votes only once the leader has taken it in.
+    # The old identity may have given votes that are lost now. Under a new
+    # one this process votes only after the leader has made it a voter.
     identity = f"{name}#{rng.getrandbits(40):010x}"
     return stores.Store.create(disk, identity), why
--- a/libs/daemon/src/trefoil_daemon/logs.py
+++ b/libs/daemon/src/trefoil_daemon/logs.py
@@ -1,4 +1,4 @@
-"""One key=value line an event, by logbook, bounded and never blocking."""
+"""Event log: one key=value line per event, rate-limited and non-blocking."""
 
 import io
 import os
@@ -21,8 +21,8 @@
     "at={record.time:%Y-%m-%dT%H:%M:%S.%f}Z "
     "level={record.level_name} {record.message}"
 )
-# Lines a second of one event. A dozen events at once stay under 200 lines a
-# second, and the first twenty of a kind tell its cause.
+# Lines per second for each event. A dozen events at once add up to about 200
+# lines per second; the first twenty of an event are enough to find its cause.
 RATE_PER_EVENT = 20
 WINDOW_S = 1.0
 
@@ -32,25 +32,26 @@
 
 
 class DroppingStream(io.TextIOBase):
-    """Writes whole lines to a descriptor, or drops them.
+    """Writes complete lines to a descriptor, or drops them.
 
-    A log collector that stops reading fills the pipe. A process that waited
-    for it would stop serving callers, so lines are dropped and counted.
+    When a log collector stops reading, the pipe fills up. A blocking write
+    would stop the process from serving callers, so lines are dropped and
+    counted.
 
     Args:
-        descriptor: Where to write; made non-blocking.
+        descriptor: File descriptor to write to; it is made non-blocking.
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.dropped = 0
-        self.rest = b""
+        self.unsent = b""
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
         """Write a line, or count it as dropped."""
         data = text.encode("utf-8", "replace")
-        if self.rest and not self._send(b""):
+        if self.unsent and not self._send(b""):
             self.dropped += 1
             return len(text)
         if not self._send(data):
@@ -58,30 +59,34 @@
         return len(text)
 
     def _send(self, data: bytes) -> bool:
-        """Send what is left of the line before, then this one."""
-        whole = self.rest + data
+        """Write the rest of the previous line, then this one.
+
+        Returns:
+            Whether the data was written, at least in part.
+        """
+        pending = self.unsent + data
         try:
-            sent = os.write(self.descriptor, whole)
+            sent = os.write(self.descriptor, pending)
         except BlockingIOError:
             return False
         except OSError:
-            # The reader is gone for good; so are the lines.
-            self.rest = b""
+            # The reader has closed the pipe.
+            self.unsent = b""
             return False
-        # Part of a line went out: the rest must follow, or the next line
-        # would be glued to it.
-        self.rest = whole[sent:]
-        return not self.rest or bool(data)
+        # After a partial write the rest must follow, or the next line would
+        # be appended to it.
+        self.unsent = pending[sent:]
+        return not self.unsent or bool(data)
 
 
 class EventLog:
     """Writes events to standard output.
 
     Args:
-        process: Name of the process, on every line.
-        level: Least level that is written.
-        stream: Where to write; standard output by default.
-        clock: Returns seconds, for the rates.
+        process: Name of the process; it is part of every line.
+        level: Lowest level that is written.
+        stream: Output stream; standard output by default.
+        clock: Returns seconds; used by the rate limit.
     """
 
     __slots__ = (
@@ -90,7 +95,7 @@
         "level",
         "stream",
         "clock",
-        "window_s",
+        "window_started_s",
         "counts",
     )
 
@@ -105,7 +110,7 @@
         self.level = LEVELS[level]
         self.stream = stream or DroppingStream(sys.stdout.fileno())
         self.clock = clock
-        self.window_s = clock()
+        self.window_started_s = clock()
         self.counts: dict[str, int] = {}
         self.logger = logbook.Logger(process)
         handler = logbook.StreamHandler(
@@ -114,11 +119,11 @@
         self.logger.handlers.append(handler)
 
     def note(self, note: common.Note) -> None:
-        """Write one event, or count it where its kind comes too often."""
+        """Write an event, or only count it above its rate limit."""
         level = LEVELS[note.level]
         if level < self.level:
             return
-        if self.clock() - self.window_s >= WINDOW_S:
+        if self.clock() - self.window_started_s >= WINDOW_S:
             self._end_window()
         count = self.counts.get(note.event, 0) + 1
         self.counts[note.event] = count
@@ -126,8 +131,8 @@
             self._write(level, note.event, note.fields)
 
     def _end_window(self) -> None:
-        """Tell what was left out, and start counting anew."""
-        self.window_s = self.clock()
+        """Log how many lines were left out and start a new window."""
+        self.window_started_s = self.clock()
         counts, self.counts = self.counts, {}
         left_out = {
             event: count - RATE_PER_EVENT
@@ -140,7 +145,8 @@
         if left_out:
             self._write(logbook.INFO, "log.left_out", left_out)
         if self.stream.dropped == dropped:
-            # Told; where this line was dropped too, the next one tells.
+            # The line was written. If it was dropped, the next window's
+            # line includes the count.
             self.stream.dropped = 0
 
     def _write(
--- a/libs/daemon/src/trefoil_daemon/readiness.py
+++ b/libs/daemon/src/trefoil_daemon/readiness.py
@@ -1,4 +1,4 @@
-"""Whether callers are served here, for what sends callers to proxies."""
+"""The readiness page, for load balancers in front of the proxies."""
 
 import typing
 
@@ -7,15 +7,15 @@
 
 
 class Process(typing.Protocol):
-    """What the readiness page needs of its process."""
+    """The state that the readiness page needs from its process."""
 
     @property
     def ready(self) -> bool:
-        """Tell whether callers are served here."""
+        """Whether callers are served here."""
 
 
 class Readiness(_page.Page):
-    """Answers every GET by 200 while callers are served, else by 503.
+    """Answers every GET with 200 while callers are served, else with 503.
 
     Args:
         process: The process engine.
--- a/libs/daemon/src/trefoil_daemon/reload.py
+++ b/libs/daemon/src/trefoil_daemon/reload.py
@@ -1,55 +1,61 @@
-"""Settings that change while a process runs."""
+"""Reloading of changed settings."""
 
 import os
 import typing
 
 from trefoil_settings import settings as setting_store
 
-# Often enough that a change without a signal is in use within two seconds.
-POLL_MS = 1000
+# A change without a signal takes effect within two seconds.
+POLL_INTERVAL_MS = 1000
 
 Load = typing.Callable[[], setting_store.Checked]
 
 
 class Reloader:
-    """Reads a settings file again once it has changed.
+    """Reloads a settings file after it has changed.
 
     Args:
         path: The settings file.
-        load: Reads and checks it.
+        load: Reads and validates it.
     """
 
-    __slots__ = ("path", "load", "seen", "poll_at_ms", "wanted")
+    __slots__ = (
+        "path",
+        "load",
+        "last_stamp",
+        "poll_at_ms",
+        "reload_requested",
+    )
 
     def __init__(self, path: str, load: Load) -> None:
         self.path = path
         self.load = load
-        self.seen = _mark_of(path)
+        self.last_stamp = _stamp_of(path)
         self.poll_at_ms = 0
-        self.wanted = False
+        self.reload_requested = False
 
     def request_reload(self) -> None:
-        """Read the file at the next poll, changed or not."""
-        self.wanted = True
+        """Reload the file at the next poll even if it has not changed."""
+        self.reload_requested = True
 
     def poll(self, now_ms: int) -> setting_store.Checked | None:
-        """Return what the file says now, None if it has not changed."""
-        if not self.wanted and now_ms < self.poll_at_ms:
+        """Return the new settings or their findings; None if unchanged."""
+        if not self.reload_requested and now_ms < self.poll_at_ms:
             return None
-        self.poll_at_ms = now_ms + POLL_MS
-        mark = _mark_of(self.path)
-        if mark == self.seen and not self.wanted:
+        self.poll_at_ms = now_ms + POLL_INTERVAL_MS
+        stamp = _stamp_of(self.path)
+        if stamp == self.last_stamp and not self.reload_requested:
             return None
-        self.seen = mark
-        self.wanted = False
+        self.last_stamp = stamp
+        self.reload_requested = False
         return self.load()
 
 
-def _mark_of(path: str) -> tuple[int, int]:
-    """Return what tells one content of a file from the next."""
+def _stamp_of(path: str) -> tuple[int, int]:
+    """Return the modification time and size of a file."""
     try:
-        found = os.stat(path)
+        stat = os.stat(path)
     except OSError:
-        # A file that is being replaced is not there for a moment.
+        # A file that is being replaced is briefly missing.
         return 0, 0
-    return found.st_mtime_ns, found.st_size
+    return stat.st_mtime_ns, stat.st_size
