--- a/libs/daemon/src/trefoil_daemon/operators.py
+++ b/libs/daemon/src/trefoil_daemon/operators.py
@@ -1,4 +1,4 @@
-"""Commands and queries on their way between operators and the leader."""
+"""Operators' commands and queries, and the replies they wait for."""
 
 import collections.abc
 import dataclasses
@@ -16,14 +16,20 @@
 COMMAND_TIMEOUT_MS = 2500
 RETRY_AFTER_MS = 500
 QUERY_TIMEOUT_MS = 1500
-MAX_WAITING = 1024
+MAX_WAITING_IDS = 1024
 
 OnReply = collections.abc.Callable[[typing.Any], None]
 
 
 @dataclasses.dataclass(slots=True)
 class Waiter:
-    """Somebody who waits for a reply."""
+    """A pending request and the callback for its reply.
+
+    Args:
+        request: The command or query.
+        reply: Receives the reply.
+        until_ms: When it is answered without an outcome.
+    """
 
     request: typing.Any
     reply: OnReply
@@ -31,7 +37,7 @@
 
 
 class Waiters:
-    """Those who wait for replies, by command or query id."""
+    """Pending requests by command or query id."""
 
     __slots__ = ("by_id",)
 
@@ -41,35 +47,42 @@
     def add(
         self, key: str, request: typing.Any, reply: OnReply, until_ms: int
     ) -> bool:
-        """Let somebody wait; False if too many do."""
-        if len(self.by_id) >= MAX_WAITING and key not in self.by_id:
+        """Add a pending request; return False if there are too many.
+
+        Args:
+            key: The command or query id.
+            request: The command or query.
+            reply: Receives the reply.
+            until_ms: When it is answered without an outcome.
+        """
+        if len(self.by_id) >= MAX_WAITING_IDS and key not in self.by_id:
             return False
         self.by_id.setdefault(key, []).append(Waiter(request, reply, until_ms))
         return True
 
     def all(self) -> list[Waiter]:
-        """Return the first of those who wait for each id."""
+        """Return the first pending request of each id."""
         return [waiters[0] for waiters in self.by_id.values()]
 
     def take(self, key: str) -> list[Waiter]:
-        """Return those who wait for an id, and forget them."""
+        """Remove and return the pending requests of an id."""
         return self.by_id.pop(key, [])
 
     def expired(self, now_ms: int) -> list[Waiter]:
-        """Return those who have waited long enough, and forget them."""
-        late = []
+        """Remove and return the pending requests that have expired."""
+        expired = []
         for key, waiters in list(self.by_id.items()):
-            late.extend(w for w in waiters if now_ms >= w.until_ms)
-            left = [w for w in waiters if now_ms < w.until_ms]
-            if left:
-                self.by_id[key] = left
+            expired.extend(w for w in waiters if now_ms >= w.until_ms)
+            remaining = [w for w in waiters if now_ms < w.until_ms]
+            if remaining:
+                self.by_id[key] = remaining
             else:
                 del self.by_id[key]
-        return late
+        return expired
 
 
 def pending(command_id: str, why: str) -> messages.CommandReply:
-    """Return the answer while the outcome is not known."""
+    """Return the reply to a command whose outcome is not known yet."""
     return messages.CommandReply(
         command_id=command_id,
         outcome=messages.Outcome.PENDING,
@@ -80,7 +93,7 @@
 
 
 def reply_from(past: messages.PastCommand) -> messages.CommandReply:
-    """Return the answer of a recorded outcome."""
+    """Return the reply for a recorded outcome."""
     return messages.CommandReply(
         command_id=past.command_id,
         outcome=past.outcome,
@@ -93,7 +106,12 @@
 def refused(
     command_id: str, refusal: command_results.CommandResult
 ) -> messages.CommandReply:
-    """Return the answer to a command that was never appended."""
+    """Return the reply to a command that was refused before it was appended.
+
+    Args:
+        command_id: Its id.
+        refusal: Why it was refused.
+    """
     return messages.CommandReply(
         command_id=command_id,
         outcome=refusal.outcome,
@@ -105,10 +123,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Envelope:
-    """What comes with a line: who says it, when, and a document.
+    """The metadata and document that accompany an operator's line.
 
     Args:
-        command_id: The operator's number for the command.
+        command_id: The operator's id of the command.
         operator: Name of the operator.
         issued_ms: When it was first issued, Unix time in milliseconds.
         document: A configuration document, for ``apply``.
@@ -123,10 +141,10 @@
 def command_from(
     statement: typing.Any, envelope: Envelope
 ) -> messages.Command | None:
-    """Return the command that a statement makes; None if it asks.
+    """Return the command for a statement; None if the statement is a query.
 
     Raises:
-        ProtocolError: The document or deadline is wrong; the command was
+        ProtocolError: The document or deadline is invalid; the command was
             not run.
     """
     body = _body_of(statement, envelope)
@@ -187,10 +205,10 @@
     if not statement.deadline:
         return issued_ms + statement.deadline_in_ms
     try:
-        moment = datetime.datetime.fromisoformat(statement.deadline)
+        deadline = datetime.datetime.fromisoformat(statement.deadline)
     except ValueError as error:
         raise errors.ProtocolError(400, f"bad deadline: {error}")
-    return int(moment.timestamp() * 1000)
+    return int(deadline.timestamp() * 1000)
 
 
 def render_reply(reply: messages.CommandReply) -> str:
--- a/libs/daemon/src/trefoil_daemon/queries.py
+++ b/libs/daemon/src/trefoil_daemon/queries.py
@@ -1,4 +1,4 @@
-"""Answers to operators' queries, from what this control process knows."""
+"""Answers to operators' queries from the state of this control process."""
 
 import datetime
 import functools
@@ -16,11 +16,11 @@
 
 
 class QueryContext:
-    """What a query is answered from.
+    """The data that queries are answered from.
 
     Args:
         state: The agreed state.
-        node: The fleet core, for records and reports.
+        node: The fleet core, which holds records and reports.
         raft: The agreement core.
         now_ms: The time on the runtime's clock.
     """
@@ -41,35 +41,35 @@
 
 
 def render(
-    statement: typing.Any, knowledge: QueryContext, *, confirmed: bool
+    statement: typing.Any, context: QueryContext, *, confirmed: bool
 ) -> str:
     """Return the answer to a query as JSON.
 
     Args:
         statement: The query.
-        knowledge: What to answer from.
+        context: The data to answer from.
         confirmed: Whether a quorum confirmed that the state is the newest.
     """
     return json.dumps(
         {
-            "rows": answer(statement, knowledge),
+            "rows": answer(statement, context),
             "confirmed": confirmed,
-            "told_by": knowledge.node.local_host,
+            "told_by": context.node.local_host,
         }
     )
 
 
 @functools.singledispatch
-def answer(statement: typing.Any, known: QueryContext) -> list[Row]:
-    """Return the rows that answer a statement."""
+def answer(statement: typing.Any, context: QueryContext) -> list[Row]:
+    """Return the rows that answer a query."""
     return [{"problem": f"{type(statement).__name__} is not a query here"}]
 
 
 @answer.register
-def _(statement: statements.InForce, known: QueryContext) -> list[Row]:
+def _(statement: statements.InForce, context: QueryContext) -> list[Row]:
     hosts = [
-        _host_row(record, known)
-        for record in known.node.members.records.present()
+        _host_row(record, context)
+        for record in context.node.members.records.present()
         if statement.host in ("", record.host)
         and statement.domain in ("", record.domain)
     ]
@@ -77,12 +77,12 @@
     if statement.by == "host":
         return hosts
     if statement.by == "service":
-        return _rows_by_service(hosts, known)
-    return _rows_by_domain(hosts, known)
+        return _rows_by_service(hosts, context)
+    return _rows_by_domain(hosts, context)
 
 
-def _host_row(record: messages.HostRecord, known: QueryContext) -> Row:
-    heard = known.node.reports.by_host.get(record.host)
+def _host_row(record: messages.HostRecord, context: QueryContext) -> Row:
+    reported = context.node.reports.by_host.get(record.host)
     row: Row = {
         "host": record.host,
         "domain": record.domain,
@@ -90,40 +90,42 @@
         "age_s": None,
         "note": "not heard from",
     }
-    if heard is not None:
-        row["revision"] = heard.report.revision
-        row["age_s"] = round(heard.age_ms(known.now_ms) / 1000, 1)
-        rejected = heard.report.rejected
+    if reported is not None:
+        row["revision"] = reported.report.revision
+        row["age_s"] = round(reported.age_ms(context.now_ms) / 1000, 1)
+        rejected = reported.report.rejected
         row["note"] = f"rejected: {rejected}" if rejected else ""
     return row
 
 
-def _rows_by_domain(hosts: list[Row], known: QueryContext) -> list[Row]:
+def _rows_by_domain(hosts: list[Row], context: QueryContext) -> list[Row]:
     domains = sorted({row["domain"] for row in hosts})
     return [
         {"domain": domain}
-        | _summary([row for row in hosts if row["domain"] == domain], known)
+        | _summary([row for row in hosts if row["domain"] == domain], context)
         for domain in domains
     ]
 
 
-def _rows_by_service(hosts: list[Row], known: QueryContext) -> list[Row]:
+def _rows_by_service(hosts: list[Row], context: QueryContext) -> list[Row]:
     by_host = {row["host"]: row for row in hosts}
     services: dict[str, set[str]] = {}
-    for record in known.node.members.records.present():
+    for record in context.node.members.records.present():
         for target in record.targets or ():
             services.setdefault(target.service_name, set()).add(record.host)
     return [
         {"service": service}
-        | _summary([by_host[h] for h in sorted(names) if h in by_host], known)
+        | _summary(
+            [by_host[h] for h in sorted(names) if h in by_host], context
+        )
         for service, names in sorted(services.items())
     ]
 
 
-def _summary(rows: list[Row], known: QueryContext) -> Row:
-    newest = known.state.items.revision
+def _summary(rows: list[Row], context: QueryContext) -> Row:
+    newest = context.state.items.revision
     ages = [row["age_s"] for row in rows if row["age_s"] is not None]
-    unheard = [row["host"] for row in rows if row["revision"] is None]
+    unreported = [row["host"] for row in rows if row["revision"] is None]
     behind = [
         row["host"]
         for row in rows
@@ -131,17 +133,17 @@
     ]
     return {
         "revision": newest,
-        "in_force_at": len(rows) - len(unheard) - len(behind),
+        "in_force_at": len(rows) - len(unreported) - len(behind),
         "of": len(rows),
         "oldest_report_s": max(ages, default=None),
         "behind": " ".join(behind),
-        "not_heard_from": " ".join(unheard),
+        "not_heard_from": " ".join(unreported),
     }
 
 
 @answer.register
-def _(statement: statements.ShowDocument, known: QueryContext) -> list[Row]:
-    document = known.state.document
+def _(statement: statements.ShowDocument, context: QueryContext) -> list[Row]:
+    document = context.state.document
     if document is None:
         return []
     return [
@@ -154,20 +156,22 @@
 
 
 @answer.register
-def _(statement: statements.ShowEvacuations, known: QueryContext) -> list[Row]:
-    found = known.state.items.all(item_store.EVACUATION)
-    return [_evacuation_row(evacuation, known) for evacuation in found]
+def _(
+    statement: statements.ShowEvacuations, context: QueryContext
+) -> list[Row]:
+    evacuations = context.state.items.all(item_store.EVACUATION)
+    return [_evacuation_row(evacuation, context) for evacuation in evacuations]
 
 
 def _evacuation_row(
-    evacuation: messages.Evacuation, known: QueryContext
+    evacuation: messages.Evacuation, context: QueryContext
 ) -> Row:
-    """Return an evacuation, and how many hosts do not follow it yet."""
+    """Return an evacuation and the hosts where it is not in force yet."""
     domain = evacuation.domain
-    revision = known.state.items.revision_of(item_store.EVACUATION + domain)
+    revision = context.state.items.revision_of(item_store.EVACUATION + domain)
     hosts = [
-        _host_row(record, known)
-        for record in known.node.members.records.present()
+        _host_row(record, context)
+        for record in context.node.members.records.present()
     ]
     behind = [
         row["host"]
@@ -190,18 +194,18 @@
 
 
 @answer.register
-def _(statement: statements.ShowMoves, known: QueryContext) -> list[Row]:
+def _(statement: statements.ShowMoves, context: QueryContext) -> list[Row]:
     return [
-        _move_row(move, known)
-        for move in known.state.moves.values()
+        _move_row(move, context)
+        for move in context.state.moves.values()
         if statement.service in ("", move.service_name)
     ]
 
 
-def _move_row(move: messages.MoveRecord, known: QueryContext) -> Row:
+def _move_row(move: messages.MoveRecord, context: QueryContext) -> Row:
     names = messages.Outcome._VALUES_TO_NAMES
     outcome = names.get(move.outcome, "running")
-    left_ms = move.deadline_ms - known.state.clock_ms
+    left_ms = move.deadline_ms - context.state.clock_ms
     return {
         "move": move.move_id,
         "service": move.service_name,
@@ -215,21 +219,23 @@
     }
 
 
-def _newest(service: str, known: QueryContext) -> messages.MoveRecord | None:
+def _newest_move(
+    service: str, context: QueryContext
+) -> messages.MoveRecord | None:
     moves = [
         move
-        for move in known.state.moves.values()
+        for move in context.state.moves.values()
         if service in (move.service_name, move.move_id)
     ]
     return moves[-1] if moves else None
 
 
 @answer.register
-def _(statement: statements.MoveDone, known: QueryContext) -> list[Row]:
-    move = _newest(statement.service, known)
+def _(statement: statements.MoveDone, context: QueryContext) -> list[Row]:
+    move = _newest_move(statement.service, context)
     if move is None:
         return [{"problem": f"no move of {statement.service} is known"}]
-    row = _move_row(move, known)
+    row = _move_row(move, context)
     return [
         {
             key: row[key]
@@ -239,18 +245,18 @@
 
 
 @answer.register
-def _(statement: statements.Explain, known: QueryContext) -> list[Row]:
-    move = _newest(statement.service, known)
+def _(statement: statements.Explain, context: QueryContext) -> list[Row]:
+    move = _newest_move(statement.service, context)
     if move is None:
         return [{"problem": f"no move of {statement.service} is known"}]
     return [{"what": line} for line in move.history]
 
 
 @answer.register
-def _(statement: statements.ShowTargets, known: QueryContext) -> list[Row]:
-    states_of = messages.TargetState._VALUES_TO_NAMES
+def _(statement: statements.ShowTargets, context: QueryContext) -> list[Row]:
+    state_names = messages.TargetState._VALUES_TO_NAMES
     rows = []
-    for record in known.node.members.records.present():
+    for record in context.node.members.records.present():
         for target in record.targets or ():
             if statement.service in ("", target.service_name):
                 rows.append(
@@ -261,7 +267,7 @@
                         "domain": record.domain,
                         "target": target.name,
                         "slots": target.slots,
-                        "state": states_of[target.state].lower(),
+                        "state": state_names[target.state].lower(),
                     }
                 )
     rows.sort(key=lambda row: tuple(str(value) for value in row.values()))
@@ -269,7 +275,7 @@
 
 
 @answer.register
-def _(statement: statements.ShowRoutes, known: QueryContext) -> list[Row]:
+def _(statement: statements.ShowRoutes, context: QueryContext) -> list[Row]:
     return [
         {
             "route": route.name,
@@ -282,12 +288,12 @@
             "timeout_ms": route.timeout_ms,
             "repeat": messages.Repeat._VALUES_TO_NAMES[route.repeat].lower(),
         }
-        for route in known.state.items.all(item_store.ROUTE)
+        for route in context.state.items.all(item_store.ROUTE)
     ]
 
 
 @answer.register
-def _(statement: statements.ShowServices, known: QueryContext) -> list[Row]:
+def _(statement: statements.ShowServices, context: QueryContext) -> list[Row]:
     return [
         {
             "service": shares.service_name,
@@ -297,13 +303,13 @@
             ),
             "move": shares.move_id,
         }
-        for shares in known.state.items.all(item_store.SHARES)
+        for shares in context.state.items.all(item_store.SHARES)
     ]
 
 
 @answer.register
-def _(statement: statements.ShowControls, known: QueryContext) -> list[Row]:
-    raft = known.raft
+def _(statement: statements.ShowControls, context: QueryContext) -> list[Row]:
+    raft = context.raft
     rows = []
     for identity in raft.voters + raft.learners:
         name = rafts.process_name(identity)
@@ -312,9 +318,9 @@
                 "control": name,
                 "identity": identity,
                 "role": _role(identity, raft),
-                "linked": name == known.node.local_host
-                or name in known.node.links,
-                "revision": known.state.items.revision,
+                "linked": name == context.node.local_host
+                or name in context.node.links,
+                "revision": context.state.items.revision,
             }
         )
     return rows
