--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -1,4 +1,4 @@
-"""The engine of ``trefoilroute-control``: its cores joined, no sockets."""
+"""The engine of ``trefoilroute-control``: connects its cores, no sockets."""
 
 import functools
 import random
@@ -33,35 +33,38 @@
 from . import operators
 from . import queries
 
-# Two that ask at the same moment are let in one after the other: a change of
-# the voters must be agreed before the next.
-JOIN_MS = 250
+# How often a host asks to join. Hosts that ask at the same time are added one
+# after the other: a change of voters must be committed before the next.
+JOIN_INTERVAL_MS = 250
 MAX_HOPS = 3
-# Without a leader's word for this long, a process that the others may have
-# dropped asks to be let in; longer than any election.
-UNLED_MS = 3000
-# A leader is heard every heartbeat, 150 ms; six in a row are not lost.
-LED_MS = 1000
-# Hosts that start together are voters within a second and a half; one that is
-# not there by then may be down, and the others take the configuration.
+# After this long without a message from a leader, a process assumes that it
+# may have been removed and asks to join; longer than any election.
+REJOIN_AFTER_MS = 3000
+# A leader sends a heartbeat every 150 ms; six in a row are not lost.
+LEADER_TIMEOUT_MS = 1000
+# Hosts that start together are voters within 1.5 s. A host that is still
+# missing after this time-out may be down, and the others accept the first
+# configuration without it.
 FOUNDING_TIMEOUT_MS = 3000
 EVACUATE_CODE = frames.CODES[messages.EvacuateDomain]
 
 
-Reads = tuple[typing.Callable[[], typing.Any], typing.Callable[[], typing.Any]]
+ReadCallbacks = tuple[
+    typing.Callable[[], typing.Any], typing.Callable[[], typing.Any]
+]
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
 
 
 class ControlProcess(_fleet_process.FleetProcess):
-    """One control process.
+    """The engine of one control process.
 
     Args:
         settings: Its settings.
-        peers_address: Address where other processes reach it.
-        carrier: Carries its effects.
+        peers_address: Address where other processes connect to it.
+        driver: Does the input and output of effects.
         clock: The runtime's clock.
         rng: Its random generator.
         disk: Its data folder.
@@ -117,23 +120,27 @@
         self.commands = operators.Waiters()
         self.queries = operators.Waiters()
         self.in_log: dict[str, int] = {}
-        self.reads: dict[int, Reads] = {}
+        self.reads: dict[int, ReadCallbacks] = {}
         self.read_number = 0
         self.join_at_ms = now_ms
-        self.asked: dict[str, str] = {}
-        self.listed_index = 0
+        self.routed_to: dict[str, str] = {}
+        self.published_controls_number = 0
         self.confirmations = floor_words.FloorConfirmations(self)
         self.unpublished = False
 
     def _open_agreement(self, driver: facade.Driver, now_ms: int) -> None:
-        """Take the agreement up from what the disk holds."""
+        """Load the agreement core from the disk."""
         settings = self.settings
-        self.store, why_new = identities.open_store(
+        self.store, new_identity_reason = identities.open_store(
             self.disk, settings.host, self.rng
         )
-        if why_new:
+        if new_identity_reason:
             driver.note(
-                common.Note("store.new_identity", {"why": why_new}, "warning")
+                common.Note(
+                    "store.new_identity",
+                    {"why": new_identity_reason},
+                    "warning",
+                )
             )
         self.state = states.State()
         if self.store.snapshot is not None:
@@ -154,12 +161,12 @@
         )
 
     def reconfigure(self, settings: setting_store.ControlSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         self.settings = settings
         self.node.overlay.set_configured(settings.known_controls)
 
     def gauges(self) -> dict[str, float]:
-        """Return what is true now, for metrics."""
+        """Return the current values of the gauges, by metric name."""
         return {
             "revision": self.state.items.revision,
             "term": self.raft.term,
@@ -172,14 +179,14 @@
         }
 
     def execute(self, effect: typing.Any) -> None:
-        """Carry out one effect."""
+        """Execute one effect."""
         execute(effect, self)
 
     def perform(self, effects: list[typing.Any]) -> None:
-        """Carry out effects in order, up to a write that the disk refuses.
+        """Execute effects in order, up to the first write that fails.
 
-        What comes after it may vouch for it, here and in the lists that led
-        to this one.
+        Later effects, in this list and in the lists whose execution led to
+        this one, may acknowledge the failed write and must not be executed.
         """
         failed_writes = self.durability.failed_writes
         for effect in effects:
@@ -195,17 +202,17 @@
     # Links
 
     def link_up(self, host: str, hello: messages.Hello, served: bool) -> None:
-        """Note a subscribed link."""
+        """Handle a subscribed link that was established."""
         super().link_up(host, hello, served)
         if hello.control:
             self.raft.on_peer_reachable(self.clock.now_ms())
 
     def link_message(self, host: str, message: typing.Any) -> None:
-        """Take a message from a subscribed link."""
+        """Handle a message from a subscribed link."""
         receive(message, self, host)
 
     def request_message(self, origin: str, message: typing.Any) -> None:
-        """Take a message from a request link: commands and queries."""
+        """Handle a command or query from a request link."""
         match message:
             case messages.CommandRequest():
                 self.submit(
@@ -234,22 +241,27 @@
         reply: operators.OnReply,
         hops: int = 0,
     ) -> None:
-        """Take an operator's command.
+        """Run an operator's command, or forward it to the leader.
+
+        If its outcome is not agreed in time, the reply is ``pending`` rather
+        than "not run": a command that was forwarded or appended may still
+        run.
 
-        Until its outcome is agreed the reply is ``pending``: a command that
-        was forwarded or appended may still run, so "not run" would be a
-        guess.
+        Args:
+            command: The command.
+            reply: Receives the reply.
+            hops: How often the command was forwarded.
         """
         known = self.state.recorded_outcome(command)
         if known is not None:
             reply(operators.reply_from(known))
             return
-        refusal = self._refusal_here(command)
+        refusal = self._local_refusal(command)
         if refusal is not None:
             reply(operators.refused(command.command_id, refusal))
             return
         if self.raft.is_leader:
-            self._submit_here(command, reply)
+            self._submit_as_leader(command, reply)
             return
         if hops >= MAX_HOPS:
             why = "no leader is known here"
@@ -258,13 +270,13 @@
         if self._wait_for(command, reply):
             self._forward(command, hops)
 
-    def _refusal_here(
+    def _local_refusal(
         self, command: messages.Command
     ) -> command_results.CommandResult | None:
-        """Return why a command can't be meant, by this host's settings.
+        """Return why a command is invalid by the settings of this host.
 
-        A slip in the name of a failure domain would else be acknowledged,
-        and the domain that is meant would go on getting requests.
+        Otherwise a mistyped failure domain would be acknowledged while the
+        intended one goes on receiving requests.
         """
         domains = self.settings.domains
         if command.kind != EVACUATE_CODE or not domains:
@@ -272,7 +284,7 @@
         try:
             body = frames.unpack_any(command.kind, command.body)
         except errors.FrameError:
-            # Refused as malformed where it is run.
+            # The leader refuses it as malformed.
             return None
         if body.domain in domains:
             return None
@@ -283,40 +295,40 @@
         )
 
     def _forward(self, command: messages.Command, hops: int) -> None:
-        """Pass a command to the leader, if one is linked."""
+        """Forward a command to the leader, if it is linked."""
         leader = rafts.process_name(self.raft.leader)
         if leader and leader in self.node.links:
-            self.asked[command.command_id] = leader
+            self.routed_to[command.command_id] = leader
             self.driver.link_send(
                 leader, messages.CommandRequest(command, hops + 1)
             )
 
-    def _pass_on_again(self) -> None:
-        """Ask the present leader what was asked of none or of another.
+    def _forward_pending(self) -> None:
+        """Send pending requests to the current leader if it lacks them.
 
-        A leader that dies or steps down forgets who waits. Commands are
-        known by their ids and queries change nothing, so both may be sent
-        twice; without it every change of the leader would leave operators
-        without an answer until they ask again.
+        A leader that crashes or steps down loses its pending requests.
+        Commands are identified by their ids and queries change nothing, so
+        both may be sent twice. Otherwise operators would get no answer after
+        a change of leader until they repeat their requests.
         """
         if not self.queries.by_id and not self.commands.by_id:
-            self.asked.clear()
+            self.routed_to.clear()
             return
         leader = rafts.process_name(self.raft.leader)
         if not leader:
             return
         for waiter in self.queries.all():
-            if self.asked.get(waiter.request.query_id) != leader:
+            if self.routed_to.get(waiter.request.query_id) != leader:
                 self._route_query(waiter.request)
         for waiter in self.commands.all():
             command = waiter.request
-            if self.asked.get(command.command_id) != leader:
+            if self.routed_to.get(command.command_id) != leader:
                 if self.raft.is_leader:
                     self._propose_once(command)
                 else:
                     self._forward(command, 0)
 
-    def _submit_here(
+    def _submit_as_leader(
         self, command: messages.Command, reply: operators.OnReply
     ) -> None:
         command_id = command.command_id
@@ -329,12 +341,12 @@
             self._propose_once(command)
 
     def _is_founding(self) -> bool:
-        """Tell whether the first configuration waits for more voters.
+        """Return whether the first configuration waits for more voters.
 
-        Some seeds found the agreement and the other hosts join it. What a
-        majority of the founders holds may be on no more disks than are lost
-        at once; with all voters there it is on one more. Commands that wait
-        are taken up again at each tick.
+        Some hosts are founders and the others join later. A majority of the
+        founders alone may be no more disks than the number that may be lost
+        at once; a majority of all voters is at least one more. Waiting
+        commands are retried on each tick.
         """
         if self.state.items.revision:
             return False
@@ -345,7 +357,7 @@
     def _propose_once(self, command: messages.Command) -> None:
         if self._is_founding():
             return
-        self.asked[command.command_id] = self.settings.host
+        self.routed_to[command.command_id] = self.settings.host
         if command.command_id not in self.in_log:
             self.in_log[command.command_id] = 0
             self._propose(command)
@@ -354,22 +366,22 @@
         self, command: messages.Command, reply: operators.OnReply
     ) -> bool:
         until_ms = self.clock.now_ms() + operators.COMMAND_TIMEOUT_MS
-        waits = self.commands.add(command.command_id, command, reply, until_ms)
-        if not waits:
+        added = self.commands.add(command.command_id, command, reply, until_ms)
+        if not added:
             why = "too many commands wait"
             reply(operators.pending(command.command_id, why))
-        return waits
+        return added
 
     def _propose(self, command: messages.Command) -> int:
         command.stamped_ms = max(self.clock.wall_ms(), self.state.clock_ms)
         index, effects = self.raft.propose(
-            logged(command), self.clock.now_ms()
+            to_log_message(command), self.clock.now_ms()
         )
         self.perform(effects)
         return index
 
     def propose_own(self, body: typing.Any) -> int:
-        """Append a decision of this leader; return its entry's index."""
+        """Append a decision of this leader; return the index of its entry."""
         kind, data = frames.pack_any(body)
         return self._propose(
             messages.Command(
@@ -388,46 +400,56 @@
                 waiter.reply(operators.reply_from(past))
 
     def on_command_reply(self, reply: messages.CommandReply) -> None:
-        """Pass on the leader's reply."""
+        """Pass the leader's reply on to those waiting for it."""
         for waiter in self.commands.take(reply.command_id):
             waiter.reply(reply)
 
     # Queries
 
     def ask(self, query: messages.Query, reply: operators.OnReply) -> None:
-        """Take an operator's query."""
+        """Answer an operator's query, or forward it to the leader.
+
+        Args:
+            query: The query.
+            reply: Receives the reply.
+        """
         until_ms = self.clock.now_ms() + operators.QUERY_TIMEOUT_MS
         if self.queries.add(query.query_id, query, reply, until_ms):
             self._route_query(query)
 
     def _route_query(self, query: messages.Query) -> None:
-        """Answer a query if this process leads, else pass it on."""
+        """Answer a query if this process leads, else forward it."""
         query_id = query.query_id
         if self.raft.is_leader:
-            self.asked[query_id] = self.settings.host
+            self.routed_to[query_id] = self.settings.host
             self.read(
                 lambda: self._answer_query(query_id, True),
-                lambda: self.asked.pop(query_id, None),
+                lambda: self.routed_to.pop(query_id, None),
             )
             return
         leader = rafts.process_name(self.raft.leader)
         hops = query.hops or 0
         if leader in self.node.links and hops < MAX_HOPS:
-            self.asked[query_id] = leader
+            self.routed_to[query_id] = leader
             subject = query.subject
             if query.kind == messages.QueryKind.DOCUMENT:
                 subject = self.state.document_tag()
-            onward = messages.Query(
+            forwarded = messages.Query(
                 query_id, query.line, hops + 1, query.kind, subject
             )
-            self.driver.link_send(leader, onward)
+            self.driver.link_send(leader, forwarded)
 
     def read(
         self,
         then: typing.Callable[[], typing.Any],
-        failed: typing.Callable[[], typing.Any] = _nothing,
+        failed: typing.Callable[[], typing.Any] = _do_nothing,
     ) -> None:
-        """Do something once the state is known to be the newest."""
+        """Confirm with a quorum that the state is the newest.
+
+        Args:
+            then: Called once it is confirmed.
+            failed: Called if it can't be confirmed.
+        """
         self.read_number += 1
         self.reads[self.read_number] = (then, failed)
         self.perform(self.raft.read(self.read_number, self.clock.now_ms()))
@@ -442,53 +464,56 @@
         statement, problem = statement_of(query)
         if statement is None:
             return messages.QueryReply(query.query_id, False, problem)
-        if self._asker_holds_document(query):
+        if self._sender_holds_document(query):
             return messages.QueryReply(query.query_id, True, "", confirmed)
-        knowledge = queries.QueryContext(
+        context = queries.QueryContext(
             self.state, self.node, self.raft, self.clock.now_ms()
         )
-        body = queries.render(statement, knowledge, confirmed=confirmed)
+        body = queries.render(statement, context, confirmed=confirmed)
         return messages.QueryReply(query.query_id, True, body, confirmed)
 
-    def _asker_holds_document(self, query: messages.Query) -> bool:
-        """Tell whether the document that is asked for is known to who asks.
+    def _sender_holds_document(self, query: messages.Query) -> bool:
+        """Return whether the sender holds the document that it asks for.
 
-        A document of hundreds of routes would else cross between failure
-        domains each time that an operator reads it.
+        Otherwise a document of hundreds of routes would be sent between
+        failure domains each time that an operator reads it.
         """
         if query.kind != messages.QueryKind.DOCUMENT or not query.subject:
             return False
         return query.subject == self.state.document_tag()
 
     def on_query_reply(self, reply: messages.QueryReply) -> None:
-        """Pass on the leader's reply."""
+        """Pass the leader's reply on to those waiting for it.
+
+        The body is empty if this process holds the document itself.
+        """
         for waiter in self.queries.take(reply.query_id):
-            found = reply
+            answer = reply
             if reply.ok and not reply.body:
-                found = self._query_reply(waiter.request, reply.confirmed)
-            waiter.reply(found)
+                answer = self._query_reply(waiter.request, reply.confirmed)
+            waiter.reply(answer)
 
     # Agreement
 
     def apply(self, entry: messages.Entry) -> None:
-        """Apply an agreed entry."""
+        """Apply a committed entry."""
         message = rafts.decode_command(entry)
         if not isinstance(message, messages.CommandRequest):
             return
         command = message.command
         before = self.state.items.revision
-        phases = {m.move_id: m.step_ms for m in self.state.running_moves()}
+        step_times = {m.move_id: m.step_ms for m in self.state.running_moves()}
         past = self.state.apply(entry.index, command)
         self.in_log.pop(command.command_id, None)
         if past is not None:
             self._answer_waiters(command.command_id)
-            self._note_command(command, past)
-        self.moves.stepped(phases)
+            self._log_command(command, past)
+        self.moves.on_step_applied(step_times)
         if self.state.items.revision != before:
             self.unpublished = True
         self._compact(entry.index)
 
-    def _note_command(
+    def _log_command(
         self, command: messages.Command, past: messages.PastCommand
     ) -> None:
         names = messages.Outcome._VALUES_TO_NAMES
@@ -507,31 +532,31 @@
         )
 
     def _publish(self) -> None:
-        """Give the fleet the newest agreed configuration.
+        """Publish the newest agreed configuration to the fleet.
 
-        Once for all entries that are applied together: a process that
-        starts applies dozens, and the proxies wait for the last.
+        This is done once for all entries that are applied together: a
+        starting process applies dozens, and the proxies need only the last.
         """
         self.unpublished = False
         self.perform(
             self.node.publish(self.state.items.copy(), self.clock.now_ms())
         )
 
-    def _list_controls(self, now_ms: int) -> None:
-        """Tell the fleet which control hosts there are."""
+    def _publish_controls(self, now_ms: int) -> None:
+        """Publish the list of control hosts to the fleet."""
         raft = self.raft
         if raft.config_index > raft.commit:
             return
         number = raft.config_index + 1
-        if number <= self.listed_index:
+        if number <= self.published_controls_number:
             return
         names = {rafts.process_name(i) for i in raft.voters + raft.learners}
         hosts = [self._control_host(name) for name in sorted(names)]
         known = [host for host in hosts if host is not None]
         if len(known) == len(hosts):
-            self.listed_index = number
-            listed = messages.ControlHosts(number, known)
-            self.perform(self.node.update_controls(listed, now_ms))
+            self.published_controls_number = number
+            controls = messages.ControlHosts(number, known)
+            self.perform(self.node.update_controls(controls, now_ms))
 
     def _control_host(self, name: str) -> messages.ControlHost | None:
         record = self.node.members.record
@@ -549,40 +574,40 @@
             self.perform(self.raft.compact(self.state.to_bytes(), index))
 
     def restore(self, snapshot: messages.Snapshot) -> None:
-        """Put a snapshot's state in place."""
+        """Replace the state with that of a snapshot."""
         self.state = states.State.from_bytes(snapshot.state)
         self._publish()
 
     # Disk
 
     def _suspend(self, why: str) -> None:
-        """Take no part in the agreement until the disk takes writes.
+        """Leave the agreement until the disk accepts writes again.
 
-        The others elect a leader as if this host were lost; its proxies are
-        told that no leader is heard here and look for another.
+        The others elect a leader as if this host had failed. Its proxies are
+        informed that it has no leader and connect to another control host.
         """
         now_ms = self.clock.now_ms()
         self.driver.note(common.Note("store.failed", {"why": why}, "error"))
         self.durability.record_failure(now_ms)
         self.raft.retire()
-        for found in list(self.reads.values()):
-            found[1]()
+        for callbacks in list(self.reads.values()):
+            callbacks[1]()
         self.reads = {}
-        self.asked = {}
-        self._forget_leading()
+        self.routed_to = {}
+        self._reset_leader_state()
 
-    def _try_disk(self, now_ms: int) -> None:
-        """Go on from what the disk holds if it takes writes again."""
+    def _retry_disk(self, now_ms: int) -> None:
+        """Resume from the state on disk if it accepts writes again."""
         try:
             self._open_agreement(self.driver, now_ms)
             self.store.save_hard_state(self.store.hard_state)
         except OSError:
-            # Logged when it began; each try would only repeat that.
+            # The first failure was logged; retries are not.
             self.durability.record_failure(now_ms)
             self.raft.retire()
             return
         self.durability.record_recovery()
-        self.listed_index = 0
+        self.published_controls_number = 0
         self.driver.note(
             common.Note("store.works_again", {"identity": self.raft.identity})
         )
@@ -591,36 +616,36 @@
 
     def _decide(self, now_ms: int) -> None:
         if not self.raft.is_leader:
-            self._forget_leading()
+            self._reset_leader_state()
         else:
             self.moves.decide(now_ms)
 
-    def _forget_leading(self) -> None:
+    def _reset_leader_state(self) -> None:
         self.moves.forget()
         self.in_log = {}
 
     # Time
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Do what is due at the current time."""
         now_ms = self.clock.now_ms()
         if self.durability.is_due(now_ms):
-            self._try_disk(now_ms)
+            self._retry_disk(now_ms)
         if not self.durability.failed:
             self.perform(self.raft.tick(now_ms))
         self.node.set_leader(rafts.process_name(self.raft.leader))
         self.confirmations.tick()
         self.evacuations.tick()
-        heard = now_ms - self.raft.last_received_ms < LED_MS
-        self.node.set_leader_known(self.raft.is_leader or heard)
+        leader_heard = now_ms - self.raft.last_received_ms < LEADER_TIMEOUT_MS
+        self.node.set_leader_known(self.raft.is_leader or leader_heard)
         self.perform(self.node.tick(now_ms))
         self._decide(now_ms)
         self._join(now_ms)
-        self._pass_on_again()
-        self._list_controls(now_ms)
+        self._forward_pending()
+        self._publish_controls(now_ms)
         for waiter in self.commands.expired(now_ms):
-            why = "not agreed yet"
-            waiter.reply(operators.pending(waiter.request.command_id, why))
+            reason = "not agreed yet"
+            waiter.reply(operators.pending(waiter.request.command_id, reason))
         for waiter in self.queries.expired(now_ms):
             waiter.reply(self._query_reply(waiter.request, False))
 
@@ -629,14 +654,15 @@
             return
         raft = self.raft
         known = raft.identity in raft.voters + raft.learners
-        # A host that was dropped while it was away does not hear of that:
-        # in its own log it is a voter still.
-        unled = (
-            not raft.is_leader and now_ms - raft.last_received_ms >= UNLED_MS
+        # A host that was removed while it was partitioned is not informed:
+        # in its own log it is still a voter.
+        no_leader = (
+            not raft.is_leader
+            and now_ms - raft.last_received_ms >= REJOIN_AFTER_MS
         )
-        if (known and not unled) or now_ms < self.join_at_ms:
+        if (known and not no_leader) or now_ms < self.join_at_ms:
             return
-        self.join_at_ms = now_ms + JOIN_MS
+        self.join_at_ms = now_ms + JOIN_INTERVAL_MS
         request = messages.JoinRequest(
             identity=raft.identity,
             name=self.settings.host,
@@ -647,14 +673,14 @@
 
 
 def statement_of(query: messages.Query) -> tuple[typing.Any, str]:
-    """Return what a query asks; None and why if it can't be read."""
+    """Return the statement of a query, or None and the parser's error."""
     match query.kind:
         case messages.QueryKind.DOCUMENT:
             return statements.ShowDocument(), ""
         case messages.QueryKind.MOVE:
             return statements.MoveDone(query.subject), ""
-    # The grammar takes a tenth of a second to load, which a process that
-    # was killed should not spend before it votes again.
+    # Loading the grammar takes 0.1 s, which would delay the first vote after
+    # a restart.
     from trefoil_language import parser
 
     parsed = parser.parse(query.line)
@@ -663,14 +689,14 @@
     return parsed.ok, ""
 
 
-def logged(command: messages.Command) -> messages.CommandRequest:
-    """Return a command as the message that is logged."""
+def to_log_message(command: messages.Command) -> messages.CommandRequest:
+    """Return a command as the message that is stored in the log."""
     return messages.CommandRequest(command=command, hops=0)
 
 
 @functools.singledispatch
 def execute(effect: typing.Any, process: ControlProcess) -> None:
-    """Carry out one effect."""
+    """Execute one effect."""
     _fleet_process.execute(effect, process)
 
 
@@ -726,21 +752,21 @@
 
 @execute.register
 def _(effect: quorum_effects.ReadReady, process: ControlProcess) -> None:
-    found = process.reads.pop(effect.read_id, None)
-    if found is not None:
-        found[0]()
+    callbacks = process.reads.pop(effect.read_id, None)
+    if callbacks is not None:
+        callbacks[0]()
 
 
 @execute.register
 def _(effect: quorum_effects.ReadFailed, process: ControlProcess) -> None:
-    found = process.reads.pop(effect.read_id, None)
-    if found is not None:
-        found[1]()
+    callbacks = process.reads.pop(effect.read_id, None)
+    if callbacks is not None:
+        callbacks[1]()
 
 
 @functools.singledispatch
 def receive(message: typing.Any, process: ControlProcess, host: str) -> None:
-    """Take one message from a subscribed link."""
+    """Handle one message from a subscribed link."""
     process.perform(
         process.node.receive(host, message, process.clock.now_ms())
     )
@@ -749,14 +775,14 @@
 def _receive_raft(
     message: typing.Any, process: ControlProcess, host: str
 ) -> None:
-    # The link's own silence bound must see this traffic too.
+    # The silence time-out of the link must count this traffic too.
     link = process.node.links.get(host)
     now_ms = process.clock.now_ms()
     if link is not None:
         link.last_received_ms = now_ms
     if process.durability.failed:
         if isinstance(message, messages.AppendRequest):
-            # Operators' commands and queries still find the leader.
+            # Commands and queries are still forwarded to the leader.
             process.raft.leader = message.leader
         return
     process.perform(process.raft.receive(host, message, now_ms))
@@ -807,7 +833,7 @@
 def _(
     message: messages.EvidenceReport, process: ControlProcess, host: str
 ) -> None:
-    process.moves.hear(host, message)
+    process.moves.receive_report(host, message)
 
 
 @receive.register
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -1,4 +1,4 @@
-"""The moves that a leading control process decides on."""
+"""Decisions of the leading control process about moves."""
 
 import dataclasses
 import typing
@@ -17,36 +17,43 @@
 
 
 class LeadingMoves:
-    """Conducts the running moves while its process leads.
+    """Runs one conductor for each running move while the process leads.
 
     Args:
         process: The control process.
-        knobs: How careful moves are.
+        parameters: Pacing and risk limits of moves.
     """
 
-    __slots__ = ("process", "knobs", "conductors", "proposed", "decide_at_ms")
+    __slots__ = (
+        "process",
+        "parameters",
+        "conductors",
+        "proposed",
+        "decide_at_ms",
+    )
 
     def __init__(
         self,
         process: "control_process.ControlProcess",
-        knobs: move_parameters.MoveParameters,
+        parameters: move_parameters.MoveParameters,
     ) -> None:
         self.process = process
-        self.knobs = knobs
+        self.parameters = parameters
         self.conductors: dict[str, conductors.Conductor] = {}
         self.proposed: dict[str, int] = {}
         self.decide_at_ms = 0
 
     def forget(self) -> None:
-        """Forget what was gathered: another process leads."""
+        """Discard all conductors; called while another process leads."""
         self.conductors = {}
         self.proposed = {}
 
-    def stepped(self, before: dict[str, int]) -> None:
-        """Tell the conductors which of their steps were agreed.
+    def on_step_applied(self, before: dict[str, int]) -> None:
+        """Notify the conductors of the steps that an entry applied.
 
         Args:
-            before: When each running move had made its last step before.
+            before: When each running move had made its last step before the
+                entry, by move id.
         """
         now_ms = self.process.clock.now_ms()
         for move_id, conductor in list(self.conductors.items()):
@@ -58,7 +65,7 @@
                 conductor.stepped(move, now_ms)
 
     def decide(self, now_ms: int) -> None:
-        """Propose the steps that are due."""
+        """Propose the steps of moves and the first versions of services."""
         if now_ms < self.decide_at_ms:
             return
         self.decide_at_ms = now_ms + conductors.DECIDE_MS
@@ -73,10 +80,10 @@
                 self._adopt_version(shares.service_name)
 
     def _adopt_version(self, service: str) -> None:
-        """Agree on the version that a service's targets announce.
+        """Propose the version that a service's targets announce.
 
-        Only where the configuration names none: what is announced first is
-        in force, and later versions come by moves.
+        Only for a service whose configuration names no version: the first
+        announced version is put in force, later ones require a move.
         """
         if self.proposed.get(service, 0) > self.process.raft.applied:
             return
@@ -102,7 +109,7 @@
     def _decide_move(self, move: messages.MoveRecord, now_ms: int) -> None:
         conductor = self.conductors.get(move.move_id)
         if conductor is None:
-            conductor = conductors.Conductor(move, self.knobs, now_ms)
+            conductor = conductors.Conductor(move, self.parameters, now_ms)
             self.conductors[move.move_id] = conductor
         wall_ms = max(
             self.process.clock.wall_ms(), self.process.state.clock_ms
@@ -145,7 +152,7 @@
                 if target.version == move.to_version:
                     new_targets += 1
                     held.update(target.resources)
-        wanted = {
+        required = {
             route.resource
             for route in self.process.state.items.all(item_store.ROUTE)
             if route.service_name == move.service_name and route.resource
@@ -154,11 +161,18 @@
             old_slots=slots[move.from_version],
             new_slots=slots[move.to_version],
             new_targets=new_targets,
-            missing=sorted(wanted - held),
+            missing=sorted(required - held),
         )
 
-    def hear(self, source: str, report: messages.EvidenceReport) -> None:
-        """Take a proxy's report, or pass it to the leader."""
+    def receive_report(
+        self, source: str, report: messages.EvidenceReport
+    ) -> None:
+        """Handle a proxy's report, or pass it on to the leader.
+
+        Args:
+            source: The host that sent it.
+            report: The report.
+        """
         if self.process.raft.is_leader:
             conductor = self.conductors.get(report.move_id)
             if conductor is not None:
