--- a/libs/daemon/tests/test_events.py
+++ b/libs/daemon/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events against the code and the operators' pages."""
+"""Compares the catalogue of log events with the code and the documentation."""
 
 import ast
 import collections.abc
@@ -11,16 +11,16 @@
 SOURCES = sorted((ROOT / "libs").glob("*/src/**/*.py"))
 PAGES = ("docs/OPERATIONS.md", "docs/operators/logs-and-metrics.md")
 EVENT = re.compile(r"[a-z]+\.[a-z_]+")
-NOTERS = {"Note", "_note", "_write"}
+LOG_FUNCTIONS = {"Note", "_note", "_write"}
 
 
-def logged() -> collections.abc.Iterator[tuple[str, str]]:
-    """Return each event that the code names, and where."""
+def logged_events() -> collections.abc.Iterator[tuple[str, str]]:
+    """Yield each event that the code logs, with its file name."""
     for path in SOURCES:
         if "gen" in path.parts or path.name == "events.py":
             continue
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
-            if isinstance(node, ast.Call) and _name_of(node) in NOTERS:
+            if isinstance(node, ast.Call) and _name_of(node) in LOG_FUNCTIONS:
                 for found in ast.walk(node):
                     if _is_event(found):
                         yield found.value, path.name
@@ -39,7 +39,9 @@
 
 
 def test_every_event_is_in_the_catalogue() -> None:
-    unknown = [found for found in logged() if found[0] not in events.CATALOGUE]
+    unknown = [
+        found for found in logged_events() if found[0] not in events.CATALOGUE
+    ]
     assert unknown == []
 
 
@@ -49,11 +51,11 @@
     assert unused == []
 
 
-def test_the_pages_explain_every_event_and_no_other() -> None:
-    pages = "".join((ROOT / page).read_text("utf-8") for page in PAGES)
+def test_the_documentation_lists_exactly_the_catalogue() -> None:
+    text = "".join((ROOT / page).read_text("utf-8") for page in PAGES)
     explained = {
         event
-        for line in pages.splitlines()
+        for line in text.splitlines()
         if line.startswith("|")
         for event in EVENT.findall(line.split("|")[1])
     }
--- a/libs/daemon/tests/test_joining.py
+++ b/libs/daemon/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Control processes that find each other from a few addresses."""
+"""Founding, joining, restarts and full disks of control processes."""
 
 import typing
 
@@ -18,25 +18,25 @@
 founded = control_net.founded
 
 
-def test_the_seeds_found_it_and_a_fourth_joins() -> None:
-    """All start together; the fourth knows the seeds, nobody knows it."""
+def test_the_founders_start_and_a_fourth_joins() -> None:
+    """All start together; the founders have no address of the fourth."""
     net = founded("10.0.0.9")
     assert len(net.leaders()) == 1
     for name in net.processes:
         assert net.voters(name) == set(net.processes)
 
 
-def test_a_fourth_with_a_lesser_name_joins() -> None:
-    """None of the seeds dials a stranger; it dials them."""
+def test_a_fourth_with_a_lower_name_joins() -> None:
+    """Founders don't connect to unknown hosts; the fourth connects to them."""
     net = founded("10.0.0.0")
     assert net.voters(net.leaders()[0]) == set(net.processes)
 
 
-def test_two_halves_that_start_apart_found_one_agreement() -> None:
-    """A cut stands between the seeds at the very first start.
+def test_partitioned_founders_start_only_one_agreement() -> None:
+    """The founders are partitioned at their first start.
 
-    One half has two seeds, the other one seed and a newcomer. Were any two
-    enough, both halves would acknowledge configurations.
+    One side has two founders, the other one founder and a new host. If any
+    two hosts were enough, both sides would acknowledge configurations.
     """
     net = Net()
     net.cut(set(SEEDS[:2]), {SEEDS[2], "10.0.0.9"})
@@ -47,11 +47,11 @@
     assert net.leaders()[0] in SEEDS[:2]
 
 
-def test_a_wiped_founder_does_not_found_again() -> None:
-    """Two of three lose their disks and start as on the first day.
+def test_wiped_founders_do_not_found_a_second_agreement() -> None:
+    """Two of three founders lose their disks and start again.
 
-    Under their first identities they would make a majority that knows
-    nothing and acknowledge over what is agreed.
+    Under their first identities they would be a majority with an empty log
+    and could acknowledge commands that conflict with agreed ones.
     """
     net = founded()
     for name in SEEDS[:2]:
@@ -62,7 +62,7 @@
     assert net.leaders() == []
 
 
-def test_a_wiped_host_is_let_in_again() -> None:
+def test_a_wiped_host_joins_under_a_new_identity() -> None:
     net = founded("10.0.0.9")
     net.stop("10.0.0.2")
     net.disks["10.0.0.2"] = disks.MemoryDisk()
@@ -74,8 +74,8 @@
     assert net.voters(leader) == set(net.processes)
 
 
-def test_a_host_gone_for_good_loses_its_vote_and_is_replaced() -> None:
-    """One is lost; later an empty one comes at another address."""
+def test_a_lost_host_is_removed_and_can_be_replaced() -> None:
+    """One host is lost; later an empty one starts at another address."""
     net = founded("10.0.0.9")
     net.stop("10.0.0.3")
     net.run(rafts.VOTER_REMOVAL_MS + 3000)
@@ -86,8 +86,8 @@
     assert net.voters(net.leaders()[0]) == set(net.processes)
 
 
-def test_a_dropped_host_that_comes_back_votes_again() -> None:
-    """It was cut off for long; in its own log it is a voter still."""
+def test_a_removed_host_that_returns_becomes_a_voter_again() -> None:
+    """It was partitioned for long; in its own log it is still a voter."""
     net = founded("10.0.0.9")
     everyone = set(net.processes)
     net.cut(everyone - {"10.0.0.1"}, {"10.0.0.1"})
@@ -100,88 +100,92 @@
 
 
 def read_document(net: Net, at: str) -> list[messages.QueryReply]:
-    """Ask a process for the document; return what the operator is told."""
-    told: list[messages.QueryReply] = []
+    """Query a process for the document; return the list of replies."""
+    replies: list[messages.QueryReply] = []
     net.processes[at].ask(
         messages.Query("q", "", 0, messages.QueryKind.DOCUMENT, ""),
-        told.append,
+        replies.append,
     )
-    return told
+    return replies
 
 
-def test_a_query_survives_its_leader() -> None:
-    """The leader that was asked dies before it answers.
+def test_a_query_survives_a_crash_of_the_leader() -> None:
+    """The leader crashes before it answers a forwarded query.
 
-    The process that passed the query on asks the next leader, so that the
-    operator gets a confirmed answer and need not ask again.
+    The process that forwarded the query must send it to the next leader, so
+    that the operator gets a confirmed answer without repeating it.
     """
     net = founded()
     (leader,) = net.leaders()
     at = next(name for name in SEEDS if name != leader)
     net.stop(leader)
-    told = read_document(net, at)
+    replies = read_document(net, at)
     net.run(2500)
-    assert [reply.confirmed for reply in told] == [True]
+    assert [reply.confirmed for reply in replies] == [True]
 
 
-def numbered(number: int, text: bytes) -> messages.Command:
-    """Return a command that applies a document with a number."""
-    made = configuration.parse(DOCUMENT).ok
-    made.document = messages.Document(number, number - 1, text)
-    code, body = frames.pack_any(made)
+def apply_document_command(number: int, text: bytes) -> messages.Command:
+    """Return a command that applies a numbered document."""
+    parsed = configuration.parse(DOCUMENT).ok
+    parsed.document = messages.Document(number, number - 1, text)
+    code, body = frames.pack_any(parsed)
     return messages.Command(f"d{number}", "op", 0, code, body)
 
 
-def test_a_document_that_the_asker_holds_does_not_travel() -> None:
-    """An operator reads it from each control host, which asks the leader."""
+def test_a_document_that_the_sender_holds_is_not_transferred() -> None:
+    """An operator may query any control host, which asks the leader."""
     net = founded()
     (leader,) = net.leaders()
     at = next(name for name in SEEDS if name != leader)
-    net.processes[leader].submit(numbered(1, b"the text"), lambda reply: None)
+    net.processes[leader].submit(
+        apply_document_command(1, b"the text"), lambda reply: None
+    )
     net.run(1000)
-    told = read_document(net, at)
+    replies = read_document(net, at)
     net.run(500)
-    replies = messages.QueryReply
-    (passed,) = [m for m in net.arrived if isinstance(m, replies)]
-    assert passed.body == ""
-    assert [reply.confirmed for reply in told] == [True]
-    assert "the text" in told[0].body
+    reply_type = messages.QueryReply
+    (forwarded,) = [m for m in net.arrived if isinstance(m, reply_type)]
+    assert forwarded.body == ""
+    assert [reply.confirmed for reply in replies] == [True]
+    assert "the text" in replies[0].body
 
 
-def test_a_newer_document_than_the_askers_does_travel() -> None:
-    """A control host that lags must not vouch for what it holds."""
+def test_a_newer_document_is_transferred_to_the_sender() -> None:
+    """A lagging control host must not confirm the document that it holds."""
     net = founded()
     (leader,) = net.leaders()
     at = next(name for name in SEEDS if name != leader)
-    net.processes[leader].submit(numbered(1, b"old"), lambda reply: None)
+    net.processes[leader].submit(
+        apply_document_command(1, b"old"), lambda reply: None
+    )
     net.run(1000)
     state = net.processes[at].state
     state.document = messages.Document(0, 0, b"older")
-    told = read_document(net, at)
+    replies = read_document(net, at)
     net.run(500)
-    assert "old" in told[0].body and "older" not in told[0].body
+    assert "old" in replies[0].body and "older" not in replies[0].body
 
 
 class FullDisk(disks.MemoryDisk):
-    """A disk that takes no more bytes once it is full."""
+    """A full disk: reads work and every write fails."""
 
     def __init__(self, files: dict[str, bytes]) -> None:
         super().__init__()
         self.files = files
 
     def append(self, name: str, data: bytes) -> None:
-        """Refuse."""
+        """Fail as a full disk does."""
         raise OSError(28, "No space left on device")
 
     replace = append
 
 
-def test_a_process_whose_disk_is_full_vouches_for_nothing() -> None:
+def test_a_process_with_a_full_disk_acknowledges_nothing() -> None:
     """A follower's disk refuses the entry that the leader sends.
 
-    Its core holds the entry in memory. Were the process to go on, its next
-    reply would count as a copy on a disk, and an acknowledged configuration
-    could be lost with the power. It falls silent before it replies.
+    Its core holds the entry in memory. A reply would count as a copy on
+    disk, and an acknowledged configuration could be lost in a power loss. The
+    process must not reply.
     """
     net = founded()
     (leader,) = net.leaders()
@@ -208,46 +212,48 @@
     assert "store.failed" in process.driver.notes
 
 
-def fill(net: Net, name: str) -> None:
-    """Let a process's disk be full from now on."""
+def fill_disk(net: Net, name: str) -> None:
+    """Make the disk of a process full."""
     process = net.processes[name]
     process.disk = process.store.disk = FullDisk(net.disks[name].files)
 
 
-def free(net: Net, name: str) -> None:
-    """Let a process's disk take writes again."""
+def free_disk(net: Net, name: str) -> None:
+    """Make the disk of a process accept writes again."""
     net.processes[name].disk = net.disks[name]
 
 
-def document(number: int) -> messages.Command:
+def configuration_command(number: int) -> messages.Command:
     """Return a command that changes the configuration."""
-    made = configuration.parse(DOCUMENT.replace("1s", f"{number}s")).ok
-    code, body = frames.pack_any(made)
+    parsed = configuration.parse(DOCUMENT.replace("1s", f"{number}s")).ok
+    code, body = frames.pack_any(parsed)
     return messages.Command(f"c{number}", "op", 0, code, body)
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_full_disk_costs_the_vote_not_the_process(leads: bool) -> None:
+def test_a_process_with_a_full_disk_runs_on_without_a_vote(
+    leads: bool,
+) -> None:
     """The disk of a control host is full for three seconds.
 
-    Its process ended and started in a loop, and with it the links of its
-    failure domain's proxies. It now stays silent in the agreement, others
-    lead, a command is acknowledged, and once the disk takes writes it has
-    what was agreed meanwhile.
+    If its process restarted in a loop, its failure domain's proxies would
+    lose their links. It must leave the agreement instead: others lead, a
+    command is acknowledged, and once the disk accepts writes the process
+    catches up.
     """
     net = founded()
     (leader,) = net.leaders()
     follower = next(name for name in SEEDS if name != leader)
-    full = leader if leads else follower
-    fill(net, full)
-    told: list[messages.CommandReply] = []
-    net.processes[full].submit(document(2), told.append)
+    full_host = leader if leads else follower
+    fill_disk(net, full_host)
+    replies: list[messages.CommandReply] = []
+    net.processes[full_host].submit(configuration_command(2), replies.append)
     net.run(3000)
-    assert net.leaders() and full not in net.leaders()
-    assert [reply.outcome for reply in told] == [messages.Outcome.DONE]
-    process = net.processes[full]
+    assert net.leaders() and full_host not in net.leaders()
+    assert [reply.outcome for reply in replies] == [messages.Outcome.DONE]
+    process = net.processes[full_host]
     assert process.gauges()["disk_refuses"] == 1
-    free(net, full)
+    free_disk(net, full_host)
     net.run(2000)
     other = net.processes[net.leaders()[0]]
     assert process.state.items.revision == other.state.items.revision
@@ -255,28 +261,28 @@
     assert "store.works_again" in process.driver.notes
 
 
-def test_what_a_full_disk_refused_is_not_acknowledged_later() -> None:
-    """A leader's disk refuses an entry that one follower never got.
+def test_an_entry_that_a_full_disk_refused_is_not_acknowledged_later() -> None:
+    """A leader's disk refuses an entry that no follower has received.
 
-    The leader had it in memory. Once its disk is free it must not come back
-    with an entry that no disk ever held.
+    The leader holds it in memory. Once the disk accepts writes, the leader
+    must not resume with an entry that was never on any disk.
     """
     net = founded()
     (leader,) = net.leaders()
     net.cut({leader}, set(SEEDS) - {leader})
-    fill(net, leader)
-    told: list[messages.CommandReply] = []
-    net.processes[leader].submit(document(2), told.append)
+    fill_disk(net, leader)
+    replies: list[messages.CommandReply] = []
+    net.processes[leader].submit(configuration_command(2), replies.append)
     last_index = net.processes[leader].store.entries[-1].index
-    free(net, leader)
+    free_disk(net, leader)
     net.run(1000)
     entries = net.processes[leader].raft.log.entries
     assert max(entry.index for entry in entries) <= last_index
-    assert all(reply.outcome != messages.Outcome.DONE for reply in told)
+    assert all(reply.outcome != messages.Outcome.DONE for reply in replies)
 
 
-def restarted(seed: int) -> Net:
-    """Return a net whose processes all lost power and start again."""
+def restart_all(seed: int) -> Net:
+    """Return a net whose processes all lost power and restarted."""
     net = founded("10.0.0.9")
     names = list(net.processes)
     for name in names:
@@ -287,8 +293,8 @@
     return net
 
 
-def leader_found_ms(net: Net) -> int:
-    """Let time pass until somebody leads; return how long it took."""
+def time_to_leader_ms(net: Net) -> int:
+    """Run until there is a leader; return how long that took."""
     waited_ms = 0
     while not net.leaders():
         net.run(control_net.STEP_MS)
@@ -296,37 +302,38 @@
     return waited_ms
 
 
-def test_a_leader_is_found_soon_after_a_loss_of_power() -> None:
-    """All start together and the first tries meet links that are not up.
+def test_a_leader_is_elected_soon_after_a_power_loss() -> None:
+    """All start together and the first elections precede the links.
 
-    Waiting a leader's whole silence before the second try left callers
-    unserved for 0.9 s more; the tries now follow each other faster, and the
-    next one comes with the first link.
+    If the second election waited for a full election time-out, callers would
+    go unserved for 0.9 s longer. Early elections must follow at shorter
+    intervals, and the next one must start with the first link.
     """
-    waits_ms = [leader_found_ms(restarted(seed)) for seed in range(20)]
+    waits_ms = [time_to_leader_ms(restart_all(seed)) for seed in range(20)]
     assert max(waits_ms) <= 700
     assert sum(waits_ms) / len(waits_ms) <= 200
 
 
-def test_a_floor_asked_for_before_there_is_a_leader_is_told_soon() -> None:
-    """A proxy asks while nobody leads, as all do after a loss of power.
+def test_a_floor_query_before_the_election_is_answered_soon_after() -> None:
+    """A proxy queries its floor before a leader is elected.
 
-    Asked again only at its next turn, the proxy refused its callers for up
-    to 0.4 s after there was a leader who could tell.
+    All proxies do so after a power loss. If the query were dropped, the proxy
+    would repeat it only at its next interval and refuse its callers for up to
+    0.4 s after the election.
     """
-    net = restarted(1)
+    net = restart_all(1)
     name, process = next(iter(net.processes.items()))
-    told: list[messages.FloorReply] = []
+    replies: list[messages.FloorReply] = []
     net.processes[name].driver.link_send = (
         lambda host, message, send=process.driver.link_send: (
-            told.append(message) if host == "proxy" else send(host, message)
+            replies.append(message) if host == "proxy" else send(host, message)
         )
     )
     query = messages.FloorQuery(0, "proxy")
     process.perform(process.node.receive("proxy", query, 0))
-    leader_found_ms(net)
+    time_to_leader_ms(net)
     net.run(2 * control_net.STEP_MS)
-    assert any(reply.certain for reply in told)
+    assert any(reply.certain for reply in replies)
 
 
 DOCUMENT = """\
@@ -335,43 +342,48 @@
 """
 
 
-def accepts(net: Net, at: str) -> typing.Callable[[], bool]:
-    """Submit a first configuration; return whether it was acknowledged."""
-    made = configuration.parse(DOCUMENT).ok
-    code, body = frames.pack_any(made)
+def submit_first_configuration(net: Net, at: str) -> typing.Callable[[], bool]:
+    """Submit a first configuration.
+
+    Returns:
+        A function that returns whether it was acknowledged.
+    """
+    parsed = configuration.parse(DOCUMENT).ok
+    code, body = frames.pack_any(parsed)
     command = messages.Command("first", "op", 0, code, body)
-    told: list[messages.CommandReply] = []
-    net.processes[at].submit(command, told.append)
-    return lambda: any(r.outcome == messages.Outcome.DONE for r in told)
+    replies: list[messages.CommandReply] = []
+    net.processes[at].submit(command, replies.append)
+    return lambda: any(r.outcome == messages.Outcome.DONE for r in replies)
 
 
-def test_the_first_configuration_waits_for_all_disks_it_needs() -> None:
-    """Five hosts bear the loss of two disks, but three of them found.
+def test_the_first_configuration_waits_for_enough_voters() -> None:
+    """Five hosts tolerate the loss of two disks, but only three are founders.
 
-    The first configuration comes before the others are voters. Acknowledged
-    on two disks of three, it is gone once these two are lost.
+    The first configuration arrives before the others are voters. If it were
+    acknowledged with copies on two of three disks, the loss of these two
+    would lose it.
     """
     net = Net()
     for name in SEEDS:
         net.start(name, found=True, lost_disks=2)
     while not net.leaders():
         net.run(control_net.STEP_MS)
-    done = accepts(net, net.leaders()[0])
+    is_acknowledged = submit_first_configuration(net, net.leaders()[0])
     net.run(500)
-    assert not done()
+    assert not is_acknowledged()
     for name in ("10.0.0.4", "10.0.0.5"):
         net.start(name, found=True, lost_disks=2)
     net.run(2000)
     assert len(net.voters(net.leaders()[0])) == 5
-    assert done()
+    assert is_acknowledged()
 
 
-def test_the_first_configuration_does_not_wait_for_ever() -> None:
-    """Two of five hosts never start; the others take it all the same."""
+def test_the_first_configuration_waits_only_for_a_limited_time() -> None:
+    """Two of five hosts never start; the others accept it nevertheless."""
     net = Net()
     for name in SEEDS:
         net.start(name, found=True, lost_disks=2)
     net.run(control_process.FOUNDING_TIMEOUT_MS + 2000)
-    done = accepts(net, net.leaders()[0])
+    is_acknowledged = submit_first_configuration(net, net.leaders()[0])
     net.run(500)
-    assert done()
+    assert is_acknowledged()
--- a/libs/daemon/tests/test_logs.py
+++ b/libs/daemon/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one event, key=value, and back again."""
+"""Log lines: quoting, parsing, dropped lines and the rate limit."""
 
 import os
 
@@ -23,25 +23,26 @@
 
 
 class Pipe:
-    """A pipe that its reader may leave full."""
+    """A pipe whose reader need not read."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
         os.set_blocking(self.reader, False)
 
     def read(self) -> str:
-        """Return what has come."""
+        """Return what has been written since the last read."""
         try:
             return os.read(self.reader, 1 << 20).decode()
         except BlockingIOError:
             return ""
 
 
-def test_a_blocked_output_drops_lines_and_counts_them() -> None:
+def test_a_blocked_output_drops_and_counts_lines() -> None:
     """The log collector stops reading while callers are served.
 
-    A process that waited for it would answer nobody. Once it reads again,
-    every line is whole and the drops are told.
+    A blocking write would stop the process from serving them. Once the
+    collector reads again, every line must be complete and the number of
+    dropped lines be logged.
     """
     pipe = Pipe()
     now_s = [0.0]
@@ -57,12 +58,12 @@
     assert len(lines) < 1500
     events = [logs.parse(line) for line in lines]
     assert events[-1]["number"] == "last"
-    told = [e for e in events if e["event"] == "log.left_out"]
-    assert sum(int(e.get("dropped", 0)) for e in told) > 500
+    summaries = [e for e in events if e["event"] == "log.left_out"]
+    assert sum(int(e.get("dropped", 0)) for e in summaries) > 500
 
 
-def test_a_storm_of_one_event_is_bounded() -> None:
-    """A thousand refusals a second; the line after tells how many more."""
+def test_a_burst_of_one_event_is_rate_limited() -> None:
+    """Of 1000 events in a second, the excess is only counted and logged."""
     pipe = Pipe()
     now_s = [0.0]
     stream = logs.DroppingStream(pipe.writer)
@@ -76,5 +77,5 @@
     names = [event["event"] for event in events]
     assert names.count("request.refused") == logs.RATE_PER_EVENT + 1
     assert "config.in_force" in names
-    (left,) = [e for e in events if e["event"] == "log.left_out"]
-    assert left["request.refused"] == str(1000 - logs.RATE_PER_EVENT)
+    (summary,) = [e for e in events if e["event"] == "log.left_out"]
+    assert summary["request.refused"] == str(1000 - logs.RATE_PER_EVENT)
--- a/libs/daemon/tests/test_shutdown.py
+++ b/libs/daemon/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""What callers get from a proxy that leaves, over real streams."""
+"""Answers of a proxy that shuts down, over real streams with fake sockets."""
 
 import typing
 
@@ -11,25 +11,25 @@
 
 
 class Socket:
-    """A socket whose peer reads as much as it is told to."""
+    """A socket whose peer reads a given number of bytes."""
 
     def __init__(self) -> None:
-        self.room = 0
+        self.capacity = 0
         self.sent = b""
         self.incoming: list[bytes] = []
         self.closed = False
 
     def send(self, data: bytes) -> int:
-        """Take what there is room for."""
-        if not self.room:
+        """Accept as many bytes as the peer reads."""
+        if not self.capacity:
             raise BlockingIOError(transports.AGAIN[0], "full")
-        taken = bytes(data[: self.room])
-        self.sent += taken
-        self.room -= len(taken)
-        return len(taken)
+        accepted = bytes(data[: self.capacity])
+        self.sent += accepted
+        self.capacity -= len(accepted)
+        return len(accepted)
 
     def recv(self, size: int) -> bytes:
-        """Return what the peer sent next."""
+        """Return the next bytes that the peer sent."""
         return self.incoming.pop(0)
 
     def close(self) -> None:
@@ -38,7 +38,7 @@
 
 
 class Poller:
-    """Watches nothing; the test tells what is ready."""
+    """Polls nothing; the test calls the transport itself."""
 
     transport: typing.Any = None
 
@@ -60,7 +60,7 @@
 
 
 class Handler:
-    """Keeps the requests that are to be run."""
+    """Records the connections of the requests that would be run."""
 
     def __init__(self) -> None:
         self.taken: list[http_server.ServerConnection] = []
@@ -68,7 +68,7 @@
     def take(
         self, connection: http_server.ServerConnection, message: typing.Any
     ) -> None:
-        """Keep a request."""
+        """Record a request."""
         self.taken.append(connection)
 
     def gone(self, connection: http_server.ServerConnection) -> None:
@@ -76,7 +76,7 @@
 
 
 class Proxy:
-    """A server with one caller."""
+    """An HTTP server with one caller's connection."""
 
     def __init__(self, idle_ms: int = 0) -> None:
         self.clock = clocks.PausedClock()
@@ -101,106 +101,109 @@
         self.server._accepted(stream)
 
     def caller_sends(self, data: bytes) -> None:
-        """Let bytes of the caller arrive."""
+        """Deliver bytes of the caller."""
         self.sock.incoming.append(data)
         self.transport.readable(typing.cast(typing.Any, self.sock))
 
     def caller_reads(self, size: int) -> None:
-        """Let the caller take some bytes."""
-        self.sock.room += size
+        """Let the caller read some bytes."""
+        self.sock.capacity += size
         self.transport.writable(typing.cast(typing.Any, self.sock))
 
-    def answers(self, body: bytes = b"done") -> None:
+    def send_answer(self, body: bytes = b"done") -> None:
         """Answer the last request."""
         self.handler.taken[-1].answer(200, "OK", b"", body)
 
     def close_idle(self) -> None:
-        """Close what is idle now."""
+        """Close the connections that are idle now."""
         self.server.close_idle(self.clock.now_ms())
 
-    def owes(self) -> bool:
-        """Tell whether the shutdown waits for a caller."""
+    def is_waiting(self) -> bool:
+        """Return whether the shutdown waits for a caller."""
         return self.server.owes(self.clock.now_ms())
 
 
-def test_a_shutdown_sends_an_answer_to_its_end() -> None:
-    """A caller lost the rest of an answer that it was still reading."""
+def test_a_shutdown_sends_an_answer_completely() -> None:
+    """The shutdown must not cut an answer that a caller is still reading."""
     proxy = Proxy()
     proxy.caller_sends(REQUEST)
-    proxy.answers(b"x" * 1000)
+    proxy.send_answer(b"x" * 1000)
     proxy.caller_reads(100)
     proxy.close_idle()
-    assert proxy.owes()
+    assert proxy.is_waiting()
     proxy.caller_reads(10_000)
     assert proxy.sock.sent.endswith(b"x" * 1000)
     assert proxy.sock.closed
-    assert not proxy.owes()
+    assert not proxy.is_waiting()
     assert proxy.cut == []
 
 
-def test_a_shutdown_answers_a_request_that_is_still_coming() -> None:
-    """A caller's upload was cut in its midst, with no word of its fate."""
+def test_a_shutdown_answers_a_request_that_is_still_received() -> None:
+    """The shutdown must not cut an upload without an answer."""
     proxy = Proxy()
     proxy.caller_sends(UPLOAD)
     proxy.close_idle()
-    assert proxy.owes()
+    assert proxy.is_waiting()
     proxy.caller_sends(b"cd")
     proxy.caller_reads(10_000)
-    proxy.answers()
+    proxy.send_answer()
     assert b"Connection: close" in proxy.sock.sent
     assert proxy.sock.closed
 
 
-def test_a_shutdown_does_not_cut_a_connection_that_was_just_opened() -> None:
-    """A caller that was told to come back opened it; its request was lost."""
+def test_a_shutdown_keeps_a_connection_that_was_just_opened() -> None:
+    """A caller that was refused may reconnect; its request must not be lost.
+
+    It opens the connection after the proxy has begun to refuse requests.
+    """
     proxy = Proxy()
     refusing_since_ms = proxy.clock.now_ms() - 1
     proxy.server.close_idle(refusing_since_ms)
     assert not proxy.sock.closed
     proxy.caller_sends(REQUEST)
     proxy.caller_reads(10_000)
-    proxy.answers()
+    proxy.send_answer()
     assert b"Connection: close" in proxy.sock.sent
 
 
 def test_a_shutdown_does_not_wait_for_later_requests() -> None:
-    """Callers keep coming; the shutdown would last until it is killed."""
+    """If it did, steady traffic would delay it until the process is killed."""
     proxy = Proxy()
-    began_by_ms = proxy.clock.now_ms()
+    started_by_ms = proxy.clock.now_ms()
     proxy.clock.advance(1)
     proxy.caller_sends(UPLOAD)
-    assert not proxy.server.owes(began_by_ms)
+    assert not proxy.server.owes(started_by_ms)
 
 
-def test_a_request_behind_the_last_answer_gets_its_own() -> None:
-    """It was read, then the connection ended without a word on it."""
+def test_a_pipelined_request_is_answered_before_the_close() -> None:
+    """A pipelined request that was read must not be dropped unanswered."""
     proxy = Proxy()
-    proxy.sock.room = 10_000
+    proxy.sock.capacity = 10_000
     proxy.caller_sends(REQUEST + REQUEST)
     proxy.server.close_politely()
-    proxy.answers()
+    proxy.send_answer()
     assert not proxy.sock.closed
     assert len(proxy.handler.taken) == 2
-    proxy.answers()
+    proxy.send_answer()
     assert proxy.sock.sent.count(b"200 OK") == 2
     assert proxy.sock.closed
 
 
-def test_nothing_is_run_behind_the_last_answer() -> None:
-    """A request ran although its connection could carry no answer."""
+def test_a_request_after_the_last_answer_is_not_run() -> None:
+    """A request must not run if its connection can't return the answer."""
     proxy = Proxy()
     proxy.caller_sends(REQUEST)
     proxy.server.close_politely()
-    proxy.answers()
+    proxy.send_answer()
     proxy.caller_sends(REQUEST)
     assert len(proxy.handler.taken) == 1
 
 
-def test_an_answer_that_is_being_read_is_not_idleness() -> None:
-    """The idle time cut an answer that took its caller longer to read."""
+def test_a_connection_whose_answer_is_being_read_is_not_idle() -> None:
+    """The idle time-out must not cut an answer that is read slowly."""
     proxy = Proxy(idle_ms=1000)
     proxy.caller_sends(REQUEST)
-    proxy.answers(b"x" * 1000)
+    proxy.send_answer(b"x" * 1000)
     for _ in range(5):
         proxy.clock.advance(900)
         proxy.caller_reads(10)
@@ -213,8 +216,8 @@
 
 
 def test_an_answer_of_any_size_is_sent() -> None:
-    """One above the limit for slow readers was cut at its start."""
+    """The buffer limit for slow readers applies only to later messages."""
     proxy = Proxy()
     proxy.caller_sends(REQUEST)
-    proxy.answers(b"x" * (transports.MAX_BUFFERED_BYTES + 1))
+    proxy.send_answer(b"x" * (transports.MAX_BUFFERED_BYTES + 1))
     assert not proxy.sock.closed
