--- a/libs/daemon/src/trefoil_daemon/hub.py
+++ b/libs/daemon/src/trefoil_daemon/hub.py
@@ -263,9 +263,9 @@
         self._finish_probe(stream, False)
 
     def _finish_probe(self, stream: transports.Stream, answered: bool) -> None:
-        found = self.probes.pop(stream, None)
-        if found is not None:
-            found[0](answered)
+        probe = self.probes.pop(stream, None)
+        if probe is not None:
+            probe[0](answered)
 
     def _dial(self, host: str, address: str, *, subscribe: bool) -> Connection:
         stream = self.transport.connect(address, self._on_open)
@@ -451,9 +451,7 @@
             unready = connection.outgoing and not connection.ready
             silent = not connection.greeted and not connection.outgoing
             if unready or silent:
-                if now_ms - connection.opened_ms > _open_timeout_ms(
-                    connection
-                ):
+                if now_ms - connection.opened_ms > _open_limit_ms(connection):
                     connection.stream.close()
             elif not connection.subscribe and connection.outgoing:
                 self._check_request_link(connection, now_ms)
@@ -516,7 +514,7 @@
             connection.outstanding.discard(message.request_id)
 
 
-def _open_timeout_ms(connection: Connection) -> int:
+def _open_limit_ms(connection: Connection) -> int:
     """Return how long a connection may take to open, in milliseconds.
 
     A host that lost power does not even refuse a connection. A request that
--- a/libs/daemon/src/trefoil_daemon/logs.py
+++ b/libs/daemon/src/trefoil_daemon/logs.py
@@ -23,7 +23,7 @@
 )
 # Lines per second for each event. A dozen events at once add up to about 200
 # lines per second; the first twenty of an event are enough to find its cause.
-RATE_PER_EVENT = 20
+MAX_LINES_PER_SECOND = 20
 WINDOW_S = 1.0
 
 
@@ -127,7 +127,7 @@
             self._end_window()
         count = self.counts.get(note.event, 0) + 1
         self.counts[note.event] = count
-        if count <= RATE_PER_EVENT:
+        if count <= MAX_LINES_PER_SECOND:
             self._write(level, note.event, note.fields)
 
     def _end_window(self) -> None:
@@ -135,9 +135,9 @@
         self.window_started_s = self.clock()
         counts, self.counts = self.counts, {}
         left_out = {
-            event: count - RATE_PER_EVENT
+            event: count - MAX_LINES_PER_SECOND
             for event, count in counts.items()
-            if count > RATE_PER_EVENT
+            if count > MAX_LINES_PER_SECOND
         }
         dropped = self.stream.dropped
         if dropped:
--- a/libs/daemon/tests/test_hub.py
+++ b/libs/daemon/tests/test_hub.py
@@ -113,9 +113,9 @@
         stream.on_open(stream)
         return stream
 
-    def take(self, stream: FakeStream, *found: typing.Any) -> None:
+    def deliver(self, stream: FakeStream, *received: typing.Any) -> None:
         """Deliver messages on a stream."""
-        data = b"".join(frames.encode(message) for message in found)
+        data = b"".join(frames.encode(message) for message in received)
         stream.on_data(stream, data)
 
     def wait(self, for_ms: int) -> None:
@@ -162,7 +162,7 @@
     stream = rig.open()
     rig.wait(450)
     assert rig.owner.responsiveness == [("h2", True)]
-    rig.take(stream, messages.Pong(1))
+    rig.deliver(stream, messages.Pong(1))
     assert rig.owner.responsiveness == [("h2", True), ("h2", False)]
     rig.wait(2000)
     assert rig.owner.responsiveness[2:] == [("h2", True), ("h2", False)]
@@ -183,7 +183,7 @@
     stream = rig.open()
     for _ in range(6):
         rig.wait(700)
-        rig.take(stream, messages.Pong(1))
+        rig.deliver(stream, messages.Pong(1))
     assert not stream.closed
 
 
@@ -204,7 +204,7 @@
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
-    rig.take(stream, messages.Answer(request_id=5, ran=True))
+    rig.deliver(stream, messages.Answer(request_id=5, ran=True))
     sent = len(stream.sent)
     rig.wait(5900)
     assert len(stream.sent) == sent
@@ -231,7 +231,7 @@
         rig.wait(50)
         if isinstance(stream.sent[-1], messages.Ping):
             pings += 1
-            rig.take(stream, messages.Pong(1))
+            rig.deliver(stream, messages.Pong(1))
             stream.sent.clear()
             stream.sent.append(REQUEST)
     assert pings <= 5
@@ -243,7 +243,7 @@
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
     rig.wait(200)
-    rig.take(stream, messages.Pong(1))
+    rig.deliver(stream, messages.Pong(1))
     rig.hub.request_send("h2", "h2:1", messages.Request(request_id=6))
     rig.wait(450)
     assert rig.owner.responsiveness == [("h2", True)]
@@ -254,21 +254,21 @@
     rig.hub.dial("s1", "s1:1")
     stream = rig.open()
     hello = messages.Hello(host="s1")
-    rig.take(stream, messages.HelloReply(hello, False, 750))
+    rig.deliver(stream, messages.HelloReply(hello, False, 750))
     assert rig.owner.calls == [("down", "s1", 750)]
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "reply",
     [
         messages.HelloReply(messages.Hello(host="x"), True, 0),
         messages.Ping(1),
     ],
 )
-def test_another_host_at_the_address_is_not_linked(answer: object) -> None:
+def test_another_host_at_the_address_is_not_linked(reply: object) -> None:
     rig = Rig()
     rig.hub.dial("s1", "s1:1")
-    rig.take(rig.open(), answer)
+    rig.deliver(rig.open(), reply)
     assert rig.owner.calls == [("down", "s1", 0)]
 
 
--- a/libs/daemon/tests/test_logs.py
+++ b/libs/daemon/tests/test_logs.py
@@ -75,7 +75,7 @@
     log.note(common.Note("request.refused"))
     events = [logs.parse(line) for line in pipe.read().splitlines()]
     names = [event["event"] for event in events]
-    assert names.count("request.refused") == logs.RATE_PER_EVENT + 1
+    assert names.count("request.refused") == logs.MAX_LINES_PER_SECOND + 1
     assert "config.in_force" in names
     (summary,) = [e for e in events if e["event"] == "log.left_out"]
-    assert summary["request.refused"] == str(1000 - logs.RATE_PER_EVENT)
+    assert summary["request.refused"] == str(1000 - logs.MAX_LINES_PER_SECOND)
--- a/libs/daemon/tests/test_shutdown.py
+++ b/libs/daemon/tests/test_shutdown.py
@@ -63,13 +63,13 @@
     """Records the connections of the requests that would be run."""
 
     def __init__(self) -> None:
-        self.taken: list[http_server.ServerConnection] = []
+        self.requests: list[http_server.ServerConnection] = []
 
     def take(
         self, connection: http_server.ServerConnection, message: typing.Any
     ) -> None:
         """Record a request."""
-        self.taken.append(connection)
+        self.requests.append(connection)
 
     def gone(self, connection: http_server.ServerConnection) -> None:
         """Ignore."""
@@ -81,7 +81,7 @@
     def __init__(self, idle_ms: int = 0) -> None:
         self.clock = clocks.PausedClock()
         self.handler = Handler()
-        self.cut: list[http_server.ServerConnection] = []
+        self.cut_connections: list[http_server.ServerConnection] = []
         self.transport = transports.Transport(
             typing.cast(transports.DirectPoller, Poller())
         )
@@ -91,7 +91,7 @@
             self.clock,
             limits=http_server.SenderLimits(idle_ms=idle_ms),
             bad=lambda why: None,
-            cut=self.cut.append,
+            cut=self.cut_connections.append,
         )
         self.sock = Socket()
         stream = transports.Stream(
@@ -112,7 +112,7 @@
 
     def send_answer(self, body: bytes = b"done") -> None:
         """Answer the last request."""
-        self.handler.taken[-1].answer(200, "OK", b"", body)
+        self.handler.requests[-1].answer(200, "OK", b"", body)
 
     def close_idle(self) -> None:
         """Close the connections that are idle now."""
@@ -135,7 +135,7 @@
     assert proxy.sock.sent.endswith(b"x" * 1000)
     assert proxy.sock.closed
     assert not proxy.is_waiting()
-    assert proxy.cut == []
+    assert proxy.cut_connections == []
 
 
 def test_a_shutdown_answers_a_request_that_is_still_received() -> None:
@@ -183,7 +183,7 @@
     proxy.server.close_politely()
     proxy.send_answer()
     assert not proxy.sock.closed
-    assert len(proxy.handler.taken) == 2
+    assert len(proxy.handler.requests) == 2
     proxy.send_answer()
     assert proxy.sock.sent.count(b"200 OK") == 2
     assert proxy.sock.closed
@@ -196,7 +196,7 @@
     proxy.server.close_politely()
     proxy.send_answer()
     proxy.caller_sends(REQUEST)
-    assert len(proxy.handler.taken) == 1
+    assert len(proxy.handler.requests) == 1
 
 
 def test_a_connection_whose_answer_is_being_read_is_not_idle() -> None:
@@ -212,7 +212,7 @@
     proxy.clock.advance(1001)
     proxy.server.tick()
     assert proxy.sock.closed
-    assert len(proxy.cut) == 1
+    assert len(proxy.cut_connections) == 1
 
 
 def test_an_answer_of_any_size_is_sent() -> None:
