--- a/libs/daemon/src/trefoil_daemon/health.py
+++ b/libs/daemon/src/trefoil_daemon/health.py
@@ -8,7 +8,7 @@
 from . import dialect as dialects
 from . import transport as transports
 
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 
 class Owner(typing.Protocol):
@@ -54,7 +54,7 @@
             port: Its port.
             path: Path of its health check.
         """
-        reader = _http.MessageReader(_http.RESPONSE, MAX_BODY)
+        reader = _http.MessageReader(_http.RESPONSE, MAX_BODY_BYTES)
         request = f"GET {path} HTTP/1.1\r\nHost: {self.ip}:{port}\r\n\r\n"
 
         def send_request(stream: transports.Stream) -> None:
