--- a/libs/daemon/src/trefoil_daemon/_fleet_process.py
+++ b/libs/daemon/src/trefoil_daemon/_fleet_process.py
@@ -1,4 +1,4 @@
-"""What both process engines share: the fleet core and its effects."""
+"""The base class of both process engines: the fleet core and its effects."""
 
 import functools
 import typing
@@ -14,49 +14,53 @@
 
 
 class FleetProcess:
-    """A process of the fleet: links in, effects out.
+    """Passes link events to the fleet core and executes its effects.
 
     Args:
-        node: Its fleet core.
-        carrier: Carries its effects.
+        node: The fleet core.
+        driver: Does the input and output of effects.
         clock: The runtime's clock.
     """
 
     def __init__(
         self,
         node: nodes.Node,
-        carrier: facade.Carrier,
+        driver: facade.Driver,
         clock: clocks.Clock,
     ) -> None:
         self.node = node
-        self.carrier = carrier
+        self.driver = driver
         self.clock = clock
 
-    def carry(self, effect: typing.Any) -> None:
-        """Carry out one effect; engines add their own kinds."""
-        carry(effect, self)
+    def execute(self, effect: typing.Any) -> None:
+        """Execute one effect; engines add their own kinds."""
+        execute(effect, self)
 
     def perform(self, effects: list[typing.Any]) -> None:
-        """Carry out effects in order; durable ones are synced first."""
+        """Execute effects in order; a write is synced before the next one."""
         for effect in effects:
-            self.carry(effect)
+            self.execute(effect)
 
     def families(self) -> list[exposition.Family]:
-        """Return the metrics that differ by labels; engines add theirs."""
+        """Return the labelled metrics; engines add their own."""
         return []
 
     def greeting(self, subscribe: bool) -> messages.Hello:
-        """Return the greeting of this process."""
+        """Return the ``Hello`` message of this process.
+
+        Args:
+            subscribe: Whether it opens a subscribed link.
+        """
         hello = self.node.hello()
         hello.subscribe = subscribe
         return hello
 
     def admit(self, hello: messages.Hello) -> int:
-        """Return 0 to serve a peer, else how long it should wait in ms."""
+        """Return 0 to accept a peer, else milliseconds until it may retry."""
         return self.node.admit(hello, self.clock.now_ms())
 
     def link_up(self, host: str, hello: messages.Hello, served: bool) -> None:
-        """Note a subscribed link."""
+        """Handle a subscribed link that was established."""
         self.node.on_hello(hello)
         self.perform(
             self.node.linked(
@@ -69,43 +73,47 @@
         )
 
     def link_down(self, host: str, retry_after_ms: int) -> None:
-        """Note a subscribed link that broke or was refused."""
+        """Handle a subscribed link that broke or was refused."""
         self.perform(
             self.node.unlinked(host, self.clock.now_ms(), retry_after_ms)
         )
 
 
 @functools.singledispatch
-def carry(effect: typing.Any, process: FleetProcess) -> None:
-    """Carry out one effect."""
+def execute(effect: typing.Any, process: FleetProcess) -> None:
+    """Execute one effect.
+
+    Raises:
+        TypeError: No implementation is registered for its type.
+    """
     raise TypeError(f"no such effect: {type(effect).__name__}")
 
 
-@carry.register
+@execute.register
 def _(effect: common.Send, process: FleetProcess) -> None:
-    process.carrier.link_send(effect.to, effect.message)
+    process.driver.link_send(effect.to, effect.message)
 
 
-@carry.register
+@execute.register
 def _(effect: common.Note, process: FleetProcess) -> None:
-    process.carrier.note(effect)
+    process.driver.note(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: common.Count, process: FleetProcess) -> None:
-    process.carrier.count(effect)
+    process.driver.count(effect)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.Dial, process: FleetProcess) -> None:
-    process.carrier.dial(effect.host, effect.address)
+    process.driver.dial(effect.host, effect.address)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.Disconnect, process: FleetProcess) -> None:
-    process.carrier.hang_up(effect.host)
+    process.driver.close_link(effect.host)
 
 
-@carry.register
+@execute.register
 def _(effect: fleet_effects.Probe, process: FleetProcess) -> None:
-    process.carrier.probe(effect.host, effect.address)
+    process.driver.probe(effect.host, effect.address)
--- a/libs/daemon/src/trefoil_daemon/facade.py
+++ b/libs/daemon/src/trefoil_daemon/facade.py
@@ -1,8 +1,8 @@
-"""The facade that a whole process is driven through.
+"""The interface between a process engine and its input and output.
 
 A process engine (``ProxyProcess``, ``ControlProcess``) does no input or
-output of its own. A daemon gives it a ``Carrier`` over circuits; a test or a
-bench gives it one in memory, with its own clock, random generator and disk.
+output itself. A daemon passes it a ``Driver`` over circuits; a test or a
+benchmark passes one in memory, with its own clock, random generator and disk.
 """
 
 import typing
@@ -13,29 +13,35 @@
 from trefoil_wire import messages
 
 
-class Carrier(typing.Protocol):
-    """What a process engine needs carried."""
+class Driver(typing.Protocol):
+    """The input and output that a process engine needs."""
 
     def link_send(self, host: str, message: typing.Any) -> None:
-        """Send on a subscribed link; dropped if there is none."""
+        """Send on a subscribed link; drop the message if there is none."""
 
     def dial(self, host: str, address: str) -> None:
         """Open a subscribed link."""
 
-    def hang_up(self, host: str) -> None:
+    def close_link(self, host: str) -> None:
         """Close a subscribed link."""
 
     def probe(self, host: str, address: str) -> None:
         """Connect to a peer once and call the engine's ``on_probe_result``."""
 
-    def tell(self, host: str, address: str, message: typing.Any) -> bool:
-        """Send on a request link; False if the peer can't be reached."""
+    def request_send(
+        self, host: str, address: str, message: typing.Any
+    ) -> bool:
+        """Send on a request link; open one if there is none.
+
+        Returns:
+            False if there is neither a link nor an address.
+        """
 
     def reply(self, origin: str, message: typing.Any) -> None:
-        """Answer on the connection that a message came by."""
+        """Reply on the connection that a message was received on."""
 
     def finish(self, final: calls.Final) -> None:
-        """Give a caller its final answer."""
+        """Send a caller its final answer."""
 
     def dispatch(self, effect: request_effects.Dispatch) -> None:
         """Run a request on a local target."""
@@ -44,12 +50,12 @@
         """Stop waiting for a local target."""
 
     def limit_callers(self, limits: messages.CallerLimits) -> None:
-        """Take the configuration's limits for callers."""
+        """Apply the configuration's limits for callers."""
 
     def check_target(self, effect: request_effects.CheckTarget) -> None:
-        """Find out whether a local target takes connections.
+        """Connect to a local target once.
 
-        The engine's ``target_checked`` is told.
+        Calls the engine's ``target_checked`` with the result.
         """
 
     def check_warmup(
@@ -57,7 +63,7 @@
     ) -> None:
         """Ask a local target how much longer it is cold.
 
-        The engine's ``target_warmup`` is told.
+        Calls the engine's ``target_warmup`` with the answer.
         """
 
     def note(self, note: common.Note) -> None:
@@ -67,4 +73,4 @@
         """Add to a metric."""
 
     def observe(self, effect: request_effects.Observe) -> None:
-        """Record a latency by tenant."""
+        """Record the latency of a request under its tenant."""
--- a/libs/emulator/src/trefoil_emulator/__init__.py
+++ b/libs/emulator/src/trefoil_emulator/__init__.py
@@ -1,1 +1,4 @@
-"""An emulator of targets, and a load tool, for tests, benches and demos."""
+"""Emulated targets, fleets of hosts and a load generator.
+
+They are used by tests, benches and demos.
+"""
