--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -1,4 +1,4 @@
-"""The engine of ``trefoilroute-control``: connects its cores, no sockets."""
+"""The engine of ``trefoilroute-control``: its cores, without sockets."""
 
 import functools
 import random
@@ -27,7 +27,7 @@
 from . import durability
 from . import evacuations
 from . import facade
-from . import floor_words
+from . import floor_confirmations
 from . import identities
 from . import leading_moves
 from . import operators
@@ -125,7 +125,7 @@
         self.join_at_ms = now_ms
         self.routed_to: dict[str, str] = {}
         self.published_controls_number = 0
-        self.confirmations = floor_words.FloorConfirmations(self)
+        self.confirmations = floor_confirmations.FloorConfirmations(self)
         self.unpublished = False
 
     def _open_agreement(self, driver: facade.Driver, now_ms: int) -> None:
@@ -273,10 +273,10 @@
     def _local_refusal(
         self, command: messages.Command
     ) -> command_results.CommandResult | None:
-        """Return why a command is invalid by the settings of this host.
+        """Return why this host's settings make a command invalid, or None.
 
-        Otherwise a mistyped failure domain would be acknowledged while the
-        intended one goes on receiving requests.
+        Without this check, a mistyped failure domain would be acknowledged
+        while the intended one continues to receive requests.
         """
         domains = self.settings.domains
         if command.kind != EVACUATE_CODE or not domains:
@@ -308,8 +308,8 @@
 
         A leader that crashes or steps down loses its pending requests.
         Commands are identified by their ids and queries change nothing, so
-        both may be sent twice. Otherwise operators would get no answer after
-        a change of leader until they repeat their requests.
+        both may be sent twice. If they were not sent again, operators would
+        get no answer after a change of leader until they repeat them.
         """
         if not self.queries.by_id and not self.commands.by_id:
             self.routed_to.clear()
@@ -448,7 +448,7 @@
 
         Args:
             then: Called once it is confirmed.
-            failed: Called if it can't be confirmed.
+            failed: Called if it cannot be confirmed.
         """
         self.read_number += 1
         self.reads[self.read_number] = (then, failed)
@@ -475,8 +475,9 @@
     def _sender_holds_document(self, query: messages.Query) -> bool:
         """Return whether the sender holds the document that it asks for.
 
-        Otherwise a document of hundreds of routes would be sent between
-        failure domains each time that an operator reads it.
+        If so, the body is left out of the reply. A document of hundreds of
+        routes would otherwise be sent between failure domains each time that
+        an operator reads it.
         """
         if query.kind != messages.QueryKind.DOCUMENT or not query.subject:
             return False
@@ -621,13 +622,13 @@
             self.moves.decide(now_ms)
 
     def _reset_leader_state(self) -> None:
-        self.moves.forget()
+        self.moves.reset()
         self.in_log = {}
 
     # Time
 
     def tick(self) -> None:
-        """Do what is due at the current time."""
+        """Run the periodic work: time-outs, retries, decisions and joining."""
         now_ms = self.clock.now_ms()
         if self.durability.is_due(now_ms):
             self._retry_disk(now_ms)
--- a/libs/daemon/src/trefoil_daemon/leading_moves.py
+++ b/libs/daemon/src/trefoil_daemon/leading_moves.py
@@ -43,8 +43,8 @@
         self.proposed: dict[str, int] = {}
         self.decide_at_ms = 0
 
-    def forget(self) -> None:
-        """Discard all conductors; called while another process leads."""
+    def reset(self) -> None:
+        """Discard all conductors; called while this process does not lead."""
         self.conductors = {}
         self.proposed = {}
 
--- a/libs/daemon/tests/test_hub.py
+++ b/libs/daemon/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""Connections to peers that are slow, silent, malformed or dead."""
+"""Connections to peers that are slow, silent, down or send malformed data."""
 
 import typing
 
@@ -98,7 +98,7 @@
 
 
 class Rig:
-    """A hub with fake streams, owner and clock."""
+    """A hub with a fake transport, owner and clock."""
 
     def __init__(self) -> None:
         self.transport = FakeTransport()
@@ -125,7 +125,7 @@
             self.hub.tick()
 
 
-def test_request_to_a_powerless_host_is_unsent_within_half_a_second() -> None:
+def test_request_to_a_powered_off_host_is_unsent_in_half_a_second() -> None:
     """The peer does not even refuse the connection.
 
     The request was not sent. It must be reported as unsent early enough to
@@ -188,7 +188,7 @@
 
 
 def test_an_idle_link_is_closed_after_its_timeout() -> None:
-    """A link that died while it was idle would lose the next request."""
+    """A connection that broke while idle would lose the next request."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", messages.Cancel(1))
     stream = rig.open()
@@ -200,7 +200,7 @@
 
 
 def test_idle_links_are_not_pinged() -> None:
-    """In a large fleet, pings on idle links grow with its square."""
+    """The number of such pings would grow with the square of the fleet."""
     rig = Rig()
     rig.hub.request_send("h2", "h2:1", REQUEST)
     stream = rig.open()
