--- a/libs/daemon/tests/test_evacuations.py
+++ b/libs/daemon/tests/test_evacuations.py
@@ -42,7 +42,7 @@
 
 
 def evacuated(net: control_net.Network, at: str) -> bool:
-    """Return whether a process has the domain as evacuated."""
+    """Return whether the domain is evacuated in the state of a process."""
     key = item_store.EVACUATION + DOMAIN
     return net.processes[at].state.items.get(key) is not None
 
@@ -53,7 +53,7 @@
     return next(name for name in net.processes if name != leader)
 
 
-def test_any_control_process_takes_an_evacuation() -> None:
+def test_any_control_process_accepts_an_evacuation() -> None:
     net = control_net.founded_network()
     caller = Caller()
     caller.ask(net, follower_of(net))
--- a/libs/daemon/tests/test_joining.py
+++ b/libs/daemon/tests/test_joining.py
@@ -19,7 +19,7 @@
 
 
 def test_the_founders_start_and_a_fourth_joins() -> None:
-    """All start together; the founders have no address of the fourth."""
+    """All start together; the founders do not know the fourth's address."""
     net = founded_network("10.0.0.9")
     assert len(net.leaders()) == 1
     for name in net.processes:
@@ -87,7 +87,7 @@
 
 
 def test_a_removed_host_that_returns_becomes_a_voter_again() -> None:
-    """It was partitioned for long; in its own log it is still a voter."""
+    """It was partitioned for long and is still a voter in its own log."""
     net = founded_network("10.0.0.9")
     everyone = set(net.processes)
     net.partition(everyone - {"10.0.0.1"}, {"10.0.0.1"})
@@ -282,7 +282,7 @@
 
 
 def restart_all(seed: int) -> Network:
-    """Return a net whose processes all lost power and restarted."""
+    """Return a network whose processes all lost power and restarted."""
     net = founded_network("10.0.0.9")
     names = list(net.processes)
     for name in names:
--- a/libs/daemon/tests/test_shutdown.py
+++ b/libs/daemon/tests/test_shutdown.py
@@ -81,7 +81,7 @@
     def __init__(self, idle_ms: int = 0) -> None:
         self.clock = clocks.PausedClock()
         self.handler = Handler()
-        self.cut_connections: list[http_server.ServerConnection] = []
+        self.truncated_connections: list[http_server.ServerConnection] = []
         self.transport = transports.Transport(
             typing.cast(transports.DirectPoller, Poller())
         )
@@ -91,7 +91,7 @@
             self.clock,
             limits=http_server.ConnectionLimits(idle_ms=idle_ms),
             malformed=lambda why: None,
-            truncated=self.cut_connections.append,
+            truncated=self.truncated_connections.append,
         )
         self.sock = Socket()
         stream = transports.Stream(
@@ -124,7 +124,7 @@
 
 
 def test_a_shutdown_sends_an_answer_completely() -> None:
-    """The shutdown must not cut an answer that a caller is still reading."""
+    """The shutdown must not truncate an answer that is still being read."""
     proxy = Proxy()
     proxy.caller_sends(REQUEST)
     proxy.send_answer(b"x" * 1000)
@@ -135,11 +135,11 @@
     assert proxy.sock.sent.endswith(b"x" * 1000)
     assert proxy.sock.closed
     assert not proxy.is_waiting()
-    assert proxy.cut_connections == []
+    assert proxy.truncated_connections == []
 
 
 def test_a_shutdown_answers_a_request_that_is_still_received() -> None:
-    """The shutdown must not cut an upload without an answer."""
+    """The shutdown must not abort an upload without an answer."""
     proxy = Proxy()
     proxy.caller_sends(UPLOAD)
     proxy.close_idle()
@@ -200,7 +200,7 @@
 
 
 def test_a_connection_whose_answer_is_being_read_is_not_idle() -> None:
-    """The idle time-out must not cut an answer that is read slowly."""
+    """The idle time-out must not truncate an answer that is read slowly."""
     proxy = Proxy(idle_ms=1000)
     proxy.caller_sends(REQUEST)
     proxy.send_answer(b"x" * 1000)
@@ -212,7 +212,7 @@
     proxy.clock.advance(1001)
     proxy.server.tick()
     assert proxy.sock.closed
-    assert len(proxy.cut_connections) == 1
+    assert len(proxy.truncated_connections) == 1
 
 
 def test_an_answer_of_any_size_is_sent() -> None:
