--- a/libs/daemon/src/trefoil_daemon/hub.py
+++ b/libs/daemon/src/trefoil_daemon/hub.py
@@ -224,7 +224,7 @@
             self.cross_domain_bytes_out[name] = cross_domain_bytes + len(data)
         connection.stream.write(data)
 
-    def owes(self) -> bool:
+    def has_unsent_answers(self) -> bool:
         """Return whether answers to other proxies are still unsent."""
         return any(
             connection.stream.unsent
--- a/libs/daemon/src/trefoil_daemon/proxy.py
+++ b/libs/daemon/src/trefoil_daemon/proxy.py
@@ -133,7 +133,7 @@
             self.callers.close_idle(refusing_since_ms)
         sending = (
             self.callers.has_open_transfers(refusing_since_ms)
-            or self.hub.owes()
+            or self.hub.has_unsent_answers()
         )
         if self.engine.may_exit(sending):
             self.note(
