--- a/libs/daemon/src/trefoil_daemon/relay.py
+++ b/libs/daemon/src/trefoil_daemon/relay.py
@@ -15,14 +15,14 @@
 
     Args:
         controls: Address of each control process, by name.
-        tell: Sends on a request link; returns False if the peer cannot be
-            reached.
+        request_send: Sends on a request link; returns False if the peer
+            cannot be reached.
     """
 
     __slots__ = (
         "control_names",
         "controls",
-        "tell",
+        "request_send",
         "control_index",
         "commands",
         "queries",
@@ -31,11 +31,11 @@
     def __init__(
         self,
         controls: dict[str, str],
-        tell: typing.Callable[[str, str, typing.Any], bool],
+        request_send: typing.Callable[[str, str, typing.Any], bool],
     ) -> None:
         self.control_names = sorted(controls)
         self.controls = controls
-        self.tell = tell
+        self.request_send = request_send
         self.control_index = 0
         self.commands = operators.Waiters()
         self.queries = operators.Waiters()
@@ -66,7 +66,7 @@
 
     def _send(self, message: typing.Any) -> None:
         name = self.control_names[self.control_index % len(self.control_names)]
-        if not self.tell(name, self.controls[name], message):
+        if not self.request_send(name, self.controls[name], message):
             self.control_index += 1
 
     def on_reply(self, message: typing.Any) -> None:
