--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -53,7 +53,7 @@
 
 
 class Driver:
-    """Carries out one proxy's effects in the simulated network."""
+    """Executes one proxy's effects in the simulated network."""
 
     def __init__(self, net: "Net", host: str) -> None:
         self.net = net
@@ -129,7 +129,7 @@
         self.clock = clocks.PausedClock(1_700_000_000_000)
         self.hosts = hosts
         self.items = configuration({"v1": 1000})
-        self.carriers: dict[str, Driver] = {}
+        self.drivers: dict[str, Driver] = {}
         self.processes: dict[str, proxy_process.ProxyProcess] = {}
         self.connections: dict[tuple[str, str], int] = {}
         self.last_connection = 0
@@ -161,11 +161,11 @@
             lease_ms=3_600_000,
             grace_ms=1000,
         )
-        self.carriers[host] = Driver(self, host)
+        self.drivers[host] = Driver(self, host)
         process = proxy_process.ProxyProcess(
             proxy_settings,
             peers_address=f"{host}:1",
-            driver=self.carriers[host],
+            driver=self.drivers[host],
             clock=self.clock,
             rng=self.rng,
         )
@@ -232,8 +232,8 @@
         source, destination = pair
         lost = [
             request_id
-            for request_id, carried in self.outstanding.items()
-            if carried == (source, number)
+            for request_id, connection in self.outstanding.items()
+            if connection == (source, number)
         ]
         for request_id in lost:
             del self.outstanding[request_id]
@@ -266,7 +266,7 @@
         origin = f"{source}#{number}"
         self.processes[destination].request_message(origin, message)
 
-    def settle(self) -> None:
+    def deliver_all(self) -> None:
         """Deliver all messages."""
         for _ in range(500):
             if not self.wire:
@@ -302,19 +302,19 @@
 
     def final(self, host: str, call_id: int) -> calls.Final | None:
         """Return a call's final answer."""
-        return self.carriers[host].finals.get(call_id)
+        return self.drivers[host].finals.get(call_id)
 
     def running(self) -> list[tuple[str, int]]:
         """Return the host and id of each request running on a target."""
         return [
             (host, request_id)
-            for host, driver in self.carriers.items()
+            for host, driver in self.drivers.items()
             for request_id in driver.dispatched
         ]
 
     def target_answers(self, host: str, request_id: int) -> None:
         """Answer a request at its target."""
-        effect = self.carriers[host].dispatched.pop(request_id)
+        effect = self.drivers[host].dispatched.pop(request_id)
         self.processes[host].target_answered(
             messages.Answer(
                 request_id=request_id,
@@ -328,7 +328,7 @@
 
     def target_breaks(self, host: str, request_id: int) -> None:
         """Break a target's connection during a request."""
-        self.carriers[host].dispatched.pop(request_id)
+        self.drivers[host].dispatched.pop(request_id)
         self.processes[host].target_disconnected(request_id)
 
     def fresh_key(self, name: str) -> str:
@@ -339,10 +339,10 @@
 def test_a_call_is_answered_by_its_target() -> None:
     net = Net()
     number = net.call("h1", "/read", "a")
-    net.settle()
+    net.deliver_all()
     ((host, request_id),) = net.running()
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     final = net.final("h1", number)
     assert (final.status, final.body, final.own) == (200, b"a", False)
 
@@ -351,7 +351,7 @@
     """Several calls run at once and their targets answer in any order."""
     net = Net()
     numbers = {net.call("h1", "/read", f"n{n}"): f"n{n}" for n in range(7)}
-    net.settle()
+    net.deliver_all()
     waiting = net.running()
     net.rng.shuffle(waiting)
     for host, request_id in waiting:
@@ -366,17 +366,17 @@
     """The deadline passes, the caller gets a 504, then the answer arrives."""
     net = Net()
     number = net.call("h1", "/pay", "a")
-    net.settle()
+    net.deliver_all()
     running = net.running()
     net.advance(2100)
     final = net.final("h1", number)
     assert (final.status, final.ran) == (504, True)
     for host, request_id in running:
-        if request_id in net.carriers[host].dispatched:
+        if request_id in net.drivers[host].dispatched:
             net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.final("h1", number) is final
-    assert not net.carriers["h1"].doubled
+    assert not net.drivers["h1"].doubled
 
 
 @pytest.mark.parametrize(
@@ -396,13 +396,13 @@
     net.share_records()
     net.add_retry_tokens("h1")
     number = net.call("h1", path, "a")
-    net.settle()
+    net.deliver_all()
     ((host, _),) = net.running()
     net.break_pair(("h1", host))
-    net.settle()
+    net.deliver_all()
     for target_host, request_id in net.running():
         net.target_answers(target_host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.runs["a"] == expected_runs
     assert net.final("h1", number).status == status
 
@@ -410,10 +410,10 @@
 def test_a_disconnected_caller_frees_the_slot() -> None:
     net = Net()
     number = net.call("h1", "/pay", "a")
-    net.settle()
+    net.deliver_all()
     ((host, _),) = net.running()
     net.processes["h1"].caller_disconnected(number)
-    net.settle()
+    net.deliver_all()
     assert net.running() == []
     assert net.processes[host].targets.busy(f"t-{host}") == 0
 
@@ -423,7 +423,7 @@
     net.processes["h1"].drop_target("t-h1", "test")
     net.share_records()
     net.call("h1", "/read", "a")
-    net.settle()
+    net.deliver_all()
     ((host, _),) = net.running()
     net.break_host("h1")
     assert net.processes[host].targets.busy(f"t-{host}") == 0
@@ -434,12 +434,12 @@
     net = Net()
     key = net.fresh_key("k")
     net.call("h1", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     ((host, request_id),) = net.running()
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     resend = net.call("h2", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     assert net.runs["a"] == 1
     final = net.final("h2", resend)
     assert (final.status, final.body) == (200, b"a")
@@ -449,9 +449,9 @@
     net = Net()
     key = net.fresh_key("k")
     net.call("h1", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     resend = net.call("h2", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     assert net.runs["a"] == 1
     assert net.final("h2", resend).status == 409
 
@@ -465,15 +465,15 @@
     net = Net(hosts=["h1", "h2", "h3"])
     key = net.fresh_key("k")
     net.call("h1", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     net.clock.advance(60_000)
     for host in ("h1", "h2"):
         net.boot(host)
     for entry in ("h1", "h2", "h3"):
         resend = net.call(entry, "/pay", "a", key)
-        net.settle()
+        net.deliver_all()
         net.advance(500)
-        net.settle()
+        net.deliver_all()
         assert net.final(entry, resend).status in (409, 503)
     assert net.runs["a"] == 1
 
@@ -488,20 +488,20 @@
     net.advance(ledgers.RETENTION_MS)
     key = "untimed"
     net.call("h1", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     ((host, request_id),) = net.running()
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     for host in ("h1", "h2", "h3"):
         net.boot(host)
         for _ in range(4):
             net.advance(500)
-            net.settle()
+            net.deliver_all()
     resend = net.call("h2", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     assert net.final("h2", resend).body == b"a"
     net.call("h2", "/pay", "b", "another")
-    net.settle()
+    net.deliver_all()
     assert net.runs == {"a": 1, "b": 1}
 
 
@@ -515,13 +515,13 @@
         process.targets.leaving = True
     key = net.fresh_key("k")
     first = net.call("h1", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     assert net.final("h1", first).ran is False
     for process in net.processes.values():
         process.targets.leaving = False
     net.advance(200)
     net.call("h2", "/pay", "a", key)
-    net.settle()
+    net.deliver_all()
     assert net.runs == {"a": 1}
 
 
@@ -539,12 +539,12 @@
     statuses = []
     for host in ("h1", "h2", "h3", "h4"):
         number = net.call(host, "/pay", "poison")
-        net.settle()
+        net.deliver_all()
         for target_host, request_id in net.running():
             net.target_breaks(target_host, request_id)
         for process in net.processes.values():
             process.perform(process.targets.tick(net.clock.advance(60)))
-        net.settle()
+        net.deliver_all()
         statuses.append(net.final(host, number).status)
     assert net.runs["poison"] == 2
     assert statuses == [502, 502, 422, 422]
@@ -563,10 +563,10 @@
     first = messages.CrashNotice(1, fingerprints, 0, False)
     process.quarantine.receive(first, now_ms)
     net.call("h1", "/read", "a")
-    net.settle()
+    net.deliver_all()
     for host, request_id in net.running():
         net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     second = messages.CrashNotice(2, fingerprints, 0, False)
     process.quarantine.receive(second, now_ms)
     assert not process.quarantine.refuses(call.fingerprint(), now_ms)
@@ -588,7 +588,7 @@
         net.processes[host].announce(announcement)
     net.share_records()
     number = net.call("h1", "/pay", "a")
-    net.settle()
+    net.deliver_all()
     final = net.final("h1", number)
     assert (final.status, final.ran, net.runs) == (503, False, {})
 
@@ -602,19 +602,19 @@
     net = Net(hosts=["h1", "h2"])
     for n in range(40):
         net.call("h1", "/read", f"n{n}")
-        net.settle()
+        net.deliver_all()
         for host, request_id in net.running():
             if host == "h1":
-                net.carriers["h1"].dispatched.pop(request_id)
+                net.drivers["h1"].dispatched.pop(request_id)
                 net.processes["h1"].target_unsent(request_id)
                 net.share_records()
             else:
                 net.target_answers(host, request_id)
-        net.settle()
+        net.deliver_all()
         for host, request_id in net.running():
             net.target_answers(host, request_id)
-        net.settle()
-    finals = net.carriers["h1"].finals.values()
+        net.deliver_all()
+    finals = net.drivers["h1"].finals.values()
     assert [f.status for f in finals] == [200] * 40
     assert net.processes["h1"].announced.records() == []
 
@@ -634,7 +634,7 @@
     net.processes["h2"].announce(announcements.Announcement(record, 1))
     for n in range(8):
         net.call("h1", "/pay", f"n{n}")
-    net.settle()
+    net.deliver_all()
     assert {host for host, _ in net.running()} == {"h3"}
 
 
@@ -645,14 +645,14 @@
     """
     net = Net(hosts=["h1", "h2"])
     number = net.call("h1", "/pay", "a")
-    net.settle()
+    net.deliver_all()
     net.processes["h1"].leave()
     refused_id = net.call("h1", "/pay", "b")
     assert net.final("h1", refused_id).ran is False
     assert not net.processes["h1"].idle
     ((host, request_id),) = net.running()
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.final("h1", number).status == 200
     assert net.processes["h1"].idle
 
@@ -676,12 +676,12 @@
     """The target's proxy accepts the request, then requests the body."""
     net = Net(hosts=["h1", "h2"])
     number = start_upload(net)
-    net.settle()
+    net.deliver_all()
     ((host, request_id),) = net.running()
-    effect = net.carriers[host].dispatched[request_id]
+    effect = net.drivers[host].dispatched[request_id]
     assert (host, effect.request.body) == ("h2", LARGE)
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.final("h1", number).status == 200
 
 
@@ -696,14 +696,14 @@
     """A read with a large body runs at two hosts at once."""
     net = Net(hosts=["h1", "h2", "h3"])
     start_upload(net, "/read")
-    net.settle()
+    net.deliver_all()
     ((first, _),) = net.running()
     net.add_retry_tokens("h1")
     net.processes["h1"].set_peer_unresponsive(first, True)
-    net.settle()
+    net.deliver_all()
     bodies = {
         host: effect.request.body
-        for host, driver in net.carriers.items()
+        for host, driver in net.drivers.items()
         for effect in driver.dispatched.values()
     }
     assert bodies == {"h2": LARGE, "h3": LARGE}
@@ -722,14 +722,14 @@
     net.processes["h3"].drop_target("t-h3", "test")
     number = start_upload(net)
     net.announce_target("h3")
-    net.settle()
+    net.deliver_all()
     assert [host for host, _ in net.running()] == ["h3"]
     target_stats = net.processes["h1"].entry.balancer.target_stats("h2/t-h2")
     assert target_stats.bodies_busy_until_ms > net.clock.now_ms() + 10_000
     start_upload(net)
-    net.settle()
+    net.deliver_all()
     assert [host for host, _ in net.running()] == ["h3", "h3"]
-    assert number not in net.carriers["h1"].finals
+    assert number not in net.drivers["h1"].finals
 
 
 def test_a_request_without_its_body_is_not_run(
@@ -743,7 +743,7 @@
     monkeypatch.setattr(entries.Entry, "on_body_pull", send_no_chunk)
     net = Net(hosts=["h1", "h2"])
     number = start_upload(net)
-    net.settle()
+    net.deliver_all()
     assert net.running() == []
     targets = net.processes["h2"].targets
     assert (targets.busy("t-h2"), len(targets.incoming_bodies.waiting)) == (
@@ -752,7 +752,7 @@
     )
     net.clock.advance(1950)
     net.processes["h2"].tick()
-    net.settle()
+    net.deliver_all()
     final = net.final("h1", number)
     assert (final.status, final.ran) == (503, False)
     assert (targets.busy("t-h2"), len(targets.incoming_bodies.waiting)) == (
@@ -767,9 +767,9 @@
     monkeypatch.setattr(entries.Entry, "on_body_pull", send_no_chunk)
     net = Net(hosts=["h1", "h2"])
     number = start_upload(net)
-    net.settle()
+    net.deliver_all()
     net.processes["h1"].caller_disconnected(number)
-    net.settle()
+    net.deliver_all()
     target_side = net.processes["h2"].targets
     assert target_side.busy("t-h2") == 0
     assert target_side.incoming_bodies.waiting == {}
@@ -797,14 +797,14 @@
     call_before_configuration(net, 1500)
     net.clock.advance(300)
     net.processes["h1"].tick()
-    assert net.carriers["h1"].finals == {}
+    assert net.drivers["h1"].finals == {}
     net.processes["h1"].put_in_force(net.items)
-    net.settle()
+    net.deliver_all()
     ((host, request_id),) = net.running()
-    effect = net.carriers[host].dispatched[request_id]
+    effect = net.drivers[host].dispatched[request_id]
     assert effect.request.deadline_ms == 1200
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.final("h1", 1).status == 200
 
 
@@ -819,7 +819,7 @@
     call_before_configuration(net, deadline_ms)
     net.clock.advance(wait_ms - 1)
     net.processes["h1"].tick()
-    assert net.carriers["h1"].finals == {}
+    assert net.drivers["h1"].finals == {}
     net.clock.advance(1)
     net.processes["h1"].tick()
     final = net.final("h1", 1)
@@ -833,7 +833,7 @@
     call_before_configuration(net, 1500)
     net.processes["h1"].caller_disconnected(1)
     net.processes["h1"].put_in_force(net.items)
-    net.settle()
+    net.deliver_all()
     assert net.running() == []
 
 
@@ -846,19 +846,19 @@
     """
     net = Net(hosts=["h1"])
     observed: list[request_effects.Observe] = []
-    net.carriers["h1"].observe = observed.append
+    net.drivers["h1"].observe = observed.append
     for name in ("a", "b", "c"):
         net.call("h1", "/read", name)
-    net.settle()
+    net.deliver_all()
     for _ in range(3):
         net.clock.advance(100)
         host, request_id = net.running()[0]
         answer = messages.Answer(
             request_id=request_id, status=200, ran=True, service_us=100_000
         )
-        net.carriers[host].dispatched.pop(request_id)
+        net.drivers[host].dispatched.pop(request_id)
         net.processes[host].target_answered(answer)
-        net.settle()
+        net.deliver_all()
     assert [effect.run_us for effect in observed] == [100_000] * 3
     assert observed[-1].latency_us == 300_000
 
@@ -875,7 +875,7 @@
     net.share_records()
     net.call("h1", "/read", "a")
     net.call("h1", "/pay", "b")
-    net.settle()
+    net.deliver_all()
     assert [host for host, _ in net.running()] == ["h2", "h2"]
     net.announce_target("h1")
     net.add_retry_tokens("h1")
@@ -884,7 +884,7 @@
     process.entry.balancer.target_stats("h2/t-h2").latency_us = 10_000
     process.set_peer_unresponsive("h2", True)
     net.call("h1", "/pay", "c")
-    net.settle()
+    net.deliver_all()
     assert net.runs == {"a": 2, "b": 1, "c": 1}
     assert len(net.processes["h2"].targets.recent) == 2
     assert sorted(host for host, _ in net.running()) == ["h1"] * 2 + ["h2"] * 2
@@ -908,7 +908,7 @@
     net.processes["h2"].drop_target("t-h2", "test")
     net.share_records()
     call_id = net.call("h2", "/pay", "a")
-    net.settle()
+    net.deliver_all()
     ((host, request_id),) = net.running()
     assert host == "h1"
     net.clock.advance(3000 - proxy_process.WITHDRAW_BEFORE_END_MS)
@@ -916,7 +916,7 @@
     net.share_records()
     assert not net.processes["h2"].entry.placement.endpoints.by_key
     net.target_answers(host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.final("h2", call_id).status == 200
 
 
@@ -945,7 +945,7 @@
     net.share_records()
     evacuate(net, "h1", True)
     number = net.call("h2", "/pay", "a")
-    net.settle()
+    net.deliver_all()
     final = net.final("h2", number)
     assert (final.status, final.ran) == (503, False)
     assert final.retry_after_ms > 0
@@ -955,7 +955,7 @@
     for host in net.hosts:
         evacuate(net, host, False)
     net.call("h2", "/pay", "b")
-    net.settle()
+    net.deliver_all()
     assert [host for host, _ in net.running()] == ["h1"]
 
 
@@ -989,7 +989,7 @@
     net.processes["h1"].targets.leaving = True
     call = calls.Call(1, "POST", "x", "/read", body=b"a", retried=True)
     net.processes["h1"].call(call)
-    net.settle()
+    net.deliver_all()
     assert net.final("h1", 1).status == 503
     assert (
         net.processes["h1"]
@@ -1021,13 +1021,13 @@
         1, "GET", "x", "/read", headers=b"", body=b"a", retried=retried
     )
     net.processes["h1"].call(call)
-    net.settle()
+    net.deliver_all()
     ((host, _),) = net.running()
     net.break_pair(("h1", host))
-    net.settle()
+    net.deliver_all()
     for target_host, request_id in net.running():
         net.target_answers(target_host, request_id)
-    net.settle()
+    net.deliver_all()
     assert net.runs["a"] == runs
     assert net.final("h1", 1).status == status
 
@@ -1061,7 +1061,7 @@
 
     @stateful.rule()
     def all_arrive(self) -> None:
-        self.net.settle()
+        self.net.deliver_all()
 
     @stateful.rule(at=st.integers(0, 50), breaks=st.booleans())
     def a_target_ends(self, at: int, breaks: bool) -> None:
@@ -1107,7 +1107,7 @@
     @stateful.invariant()
     def one_final_a_call(self) -> None:
         if hasattr(self, "net"):
-            for driver in self.net.carriers.values():
+            for driver in self.net.drivers.values():
                 assert not driver.doubled
 
 
