--- a/libs/daemon/src/trefoil_daemon/announcements.py
+++ b/libs/daemon/src/trefoil_daemon/announcements.py
@@ -191,7 +191,7 @@
         )
 
     def replaced_by(self, announcement: Announcement) -> list[str]:
-        """Return the earlier targets at the port of one that started later."""
+        """Return the targets that an announcement replaces at its port."""
         return [
             name
             for name, other in self.by_name.items()
--- a/libs/daemon/src/trefoil_daemon/dialect.py
+++ b/libs/daemon/src/trefoil_daemon/dialect.py
@@ -9,7 +9,8 @@
 
     Args:
         deadline: How many milliseconds longer the sender waits.
-        retried: Tells targets that a proxy already retries this call chain.
+        retried: Informs targets that a proxy already retries this call
+            chain.
         not_run: Set by a target on an answer to a request that it did not
             run.
         request_id: The caller's id of a request. Targets return it, so that
--- a/libs/daemon/src/trefoil_daemon/durability.py
+++ b/libs/daemon/src/trefoil_daemon/durability.py
@@ -38,7 +38,7 @@
         """Wrap a write to the disk.
 
         Raises:
-            DiskRefused: The write failed.
+            DiskWriteError: The write failed.
         """
         try:
             yield
--- a/libs/daemon/src/trefoil_daemon/evacuations.py
+++ b/libs/daemon/src/trefoil_daemon/evacuations.py
@@ -37,8 +37,8 @@
         reply: Receives the answer.
         ticks: For how many ticks it has been held.
         attempts: How often it was submitted.
-        newest_revision: The newest revision that this host knew, 0 before
-            the first attempt.
+        newest_revision: The newest revision known to this host or named by
+            a refusal; 0 before the first attempt.
     """
 
     request: messages.EvacuateDomain
--- a/libs/daemon/src/trefoil_daemon/exposition.py
+++ b/libs/daemon/src/trefoil_daemon/exposition.py
@@ -59,7 +59,8 @@
     Args:
         metrics: The process's metrics.
         bytes_out: Bytes sent to peers, by message kind.
-        far_bytes_out: The part of them sent to other failure domains.
+        cross_domain_bytes_out: The part of them sent to other failure
+            domains, by message kind.
         engine: Supplies the gauges and the labelled metrics.
     """
 
--- a/libs/daemon/src/trefoil_daemon/facade.py
+++ b/libs/daemon/src/trefoil_daemon/facade.py
@@ -26,7 +26,10 @@
         """Close a subscribed link."""
 
     def probe(self, host: str, address: str) -> None:
-        """Connect to a peer once and call the engine's ``on_probe_result``."""
+        """Connect to a peer once.
+
+        Calls the fleet core's ``on_probe_result`` with the result.
+        """
 
     def request_send(
         self, host: str, address: str, message: typing.Any
--- a/libs/daemon/src/trefoil_daemon/http_server.py
+++ b/libs/daemon/src/trefoil_daemon/http_server.py
@@ -131,7 +131,7 @@
     """Accepts HTTP connections and passes their requests to a handler.
 
     Args:
-        transport: Carries the streams.
+        transport: Accepts the streams.
         handler: Handles the requests.
         clock: The runtime's clock.
         limits: Limits of the connections.
--- a/libs/daemon/src/trefoil_daemon/identities.py
+++ b/libs/daemon/src/trefoil_daemon/identities.py
@@ -1,8 +1,8 @@
 """Identities of control processes, and the stores that hold them.
 
 A process votes under an identity that lasts as long as its disk. A process
-that lost its disk returns under a new identity, so that it can't contradict a
-vote that it no longer has on record.
+that lost its disk returns under a new identity, so that it cannot contradict
+a vote of which it has no record.
 """
 
 import random
--- a/libs/daemon/src/trefoil_daemon/pools.py
+++ b/libs/daemon/src/trefoil_daemon/pools.py
@@ -68,7 +68,7 @@
     """The connections to all targets of this host.
 
     Args:
-        transport: Carries the streams.
+        transport: Opens the streams.
         owner: Receives the results; the process engine.
         clock: The runtime's clock.
         ip: Address of this host, at which its targets listen.
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -50,7 +50,7 @@
 # within this time.
 MIN_SHUTDOWN_MS = 1500
 # The process exits this long before it would be killed: a killed process
-# cannot tell its callers how their requests ended.
+# cannot answer the requests of its callers.
 SHUTDOWN_MARGIN_MS = 500
 
 
@@ -60,7 +60,7 @@
     Args:
         settings: Settings of the proxy.
         peers_address: Address at which other processes reach it.
-        carrier: Carries out the effects.
+        driver: Does the input and output of effects.
         clock: The runtime's clock.
         rng: Random generator.
         not_run_header: Response header by which a target states that it did
@@ -128,10 +128,10 @@
         self.spending_log = spendings.SpendingLog()
         self.relay = relays.Relay(settings.known_controls, driver.request_send)
 
-    # Carrying out effects
+    # Effects
 
     def execute(self, effect: typing.Any) -> None:
-        """Carry out one effect."""
+        """Execute one effect."""
         execute(effect, self)
 
     def now_us(self) -> int:
@@ -667,7 +667,7 @@
 
 @functools.singledispatch
 def execute(effect: typing.Any, process: ProxyProcess) -> None:
-    """Carry out one effect."""
+    """Execute one effect."""
     _fleet_process.execute(effect, process)
 
 
--- a/libs/daemon/src/trefoil_daemon/runtime.py
+++ b/libs/daemon/src/trefoil_daemon/runtime.py
@@ -1,6 +1,6 @@
 """The event loop of a daemon, on circuits and a single thread.
 
-The runtime carries out a process engine's effects: it implements the facade
+The runtime executes a process engine's effects: it implements the facade
 over sockets, calls the engine's ``tick`` periodically and exits on signals.
 """
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -64,7 +64,7 @@
         """Run the deployment under faults and collect the problems.
 
         Raises:
-            NeverCame: No leader was elected in time, or the first document
+            WaitTimeout: No leader was elected in time, or the first document
                 was not accepted.
         """
         relays = relay_module.Relays()
