--- a/libs/daemon/tests/test_hub.py
+++ b/libs/daemon/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""Connections to peers that are slow, silent, down or send malformed data."""
+"""Connections to slow, silent or unreachable peers; malformed messages."""
 
 import typing
 
