--- a/libs/moves/tests/test_state.py
+++ b/libs/moves/tests/test_state.py
@@ -143,7 +143,7 @@
     assert state.items.digest == before
 
 
-def test_two_moves_on_a_service_never_run_at_once() -> None:
+def test_two_moves_on_a_service_never_run_concurrently() -> None:
     state = configured_state()
     state.apply(2, command(move("v2"), "a"))
     second = state.apply(3, command(move("v3"), "b"))
--- a/libs/requests/src/trefoil_requests/accounts.py
+++ b/libs/requests/src/trefoil_requests/accounts.py
@@ -54,7 +54,7 @@
             service_budget.set_reserve(reserve)
 
     def has_budget(self, service: str) -> bool:
-        """Tell whether a service has a budget.
+        """Return whether a service has a budget.
 
         A service that was removed from the configuration has none, although
         some of its requests may still run.
--- a/libs/requests/src/trefoil_requests/admission.py
+++ b/libs/requests/src/trefoil_requests/admission.py
@@ -1,7 +1,7 @@
 """Admission control on the proxy of a target: slots and a short queue.
 
 A service can be short of slots for seconds: after a burst, after a crash of
-targets, or when callers retry at once. In order of arrival, every request
+targets, or when callers retry immediately. In order of arrival, every request
 would then wait for the whole queue, and all answers would be late. If
 requests that can still be answered in time go first, the same slots give as
 many answers, and most of them in time.
@@ -135,7 +135,8 @@
     """Admits requests to the slots of one target and to its queue.
 
     Args:
-        slots: Number of requests that the target runs at once, as announced.
+        slots: Number of requests that the target runs concurrently, as
+            announced.
         warmup: Rate limit of the target while it is cold.
     """
 
@@ -163,11 +164,11 @@
         return self._wait_behind(len(self.queue), now_ms)
 
     def _may_start(self, now_ms: int) -> bool:
-        """Tell whether a request may start now."""
+        """Return whether a request may start now."""
         return self.running < self.slots and self.warmup.may_start(now_ms)
 
     def _starts_at_once(self, now_ms: int) -> bool:
-        """Tell whether a new request starts at once."""
+        """Return whether a new request starts immediately."""
         return self._may_start(now_ms) and not self.queue
 
     def _wait_behind(self, count: int, now_ms: int) -> float:
--- a/libs/requests/src/trefoil_requests/balancer.py
+++ b/libs/requests/src/trefoil_requests/balancer.py
@@ -237,11 +237,11 @@
         return min(known) * UNSEEN_FACTOR if known else DEFAULT_LATENCY_US
 
     def has_free_slots(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
-        """Tell whether a target is estimated to have enough free slots."""
+        """Return whether a target is estimated to have enough free slots."""
         return self._load(endpoint, now_ms) < FREE_SLOTS_LOAD
 
     def is_full(self, endpoint: routing.Endpoint, now_ms: int) -> bool:
-        """Tell whether all slots of a target are estimated to be in use."""
+        """Return whether all slots of a target are estimated to be in use."""
         return self._load(endpoint, now_ms) >= 1.0
 
     def _load(self, endpoint: routing.Endpoint, now_ms: int) -> float:
--- a/libs/requests/src/trefoil_requests/bodies.py
+++ b/libs/requests/src/trefoil_requests/bodies.py
@@ -42,7 +42,7 @@
 
 
 def is_large(body: bytes) -> bool:
-    """Tell whether a body is sent only on request."""
+    """Return whether a body is sent only on request."""
     return len(body) >= LARGE_BYTES
 
 
@@ -99,7 +99,7 @@
         return self.stalled, self.is_late(now_ms, bytes_per_ms), self.due_ms
 
     def is_late(self, now_ms: int, bytes_per_ms: float) -> bool:
-        """Tell whether it would be late even if it were transferred now."""
+        """Return whether it would be late even if it were transferred now."""
         return now_ms + self.remaining_bytes / bytes_per_ms > self.due_ms
 
 
@@ -129,19 +129,19 @@
 
     @property
     def starts_at_once(self) -> bool:
-        """Tell whether a slot is free and a mean run meets the target."""
+        """Return whether a slot is free and a mean run meets the target."""
         ends_ms = self.body_ms + self.run_ms
         return not self.slot_ms and ends_ms <= self.latency_target_ms
 
     @property
     def meets_latency_target(self) -> bool:
-        """Tell whether most such requests would meet their target."""
+        """Return whether most such requests would meet their target."""
         starts_ms = max(self.body_ms, self.slot_ms)
         return starts_ms + self.safe_run_ms <= self.latency_target_ms
 
     @property
     def meets_deadline(self) -> bool:
-        """Tell whether it is answered before its deadline, even if late."""
+        """Return whether it is answered before its deadline, even if late."""
         starts_ms = max(self.deferred_ms, self.slot_ms)
         return starts_ms + self.run_ms <= self.deadline_ms
 
@@ -262,17 +262,17 @@
         return int((ahead + size) / self.bytes_per_ms / free_share)
 
     def waits_for(self, request_id: int) -> bool:
-        """Tell whether the body of a request is still incomplete."""
+        """Return whether the body of a request is still incomplete."""
         return request_id in self.waiting
 
     def is_busy(self, now_ms: int) -> bool:
-        """Tell whether bodies that can be in time use the link."""
+        """Return whether bodies that can be in time use the link."""
         return any(
             not self._is_late(body, now_ms) for body in self.waiting.values()
         )
 
     def is_deferred(self, request_id: int, now_ms: int) -> bool:
-        """Tell whether a body is late and waits behind all others."""
+        """Return whether a body is late and waits behind all others."""
         body = self.waiting[request_id]
         return body not in self.active and self._is_late(body, now_ms)
 
@@ -328,7 +328,7 @@
         self.utilization += weight * (self.is_busy(now_ms) - self.utilization)
 
     def _is_slow(self, body: IncomingBody, now_ms: int) -> bool:
-        """Tell whether its sender is slower than the link."""
+        """Return whether its sender is slower than the link."""
         received_bytes = len(body.data) - body.start_bytes
         expected_ms = (received_bytes + CHUNK_BYTES) / self.bytes_per_ms
         slow_ms = max(SLOW_FACTOR * expected_ms, MIN_SLOW_MS)
--- a/libs/requests/src/trefoil_requests/budget.py
+++ b/libs/requests/src/trefoil_requests/budget.py
@@ -68,8 +68,8 @@
                 already paid for.
         """
         self.requests += 1
-        room = self.reserve - self.in_flight - self.tokens
-        self.tokens += min(self.ratio * (1 - repeat), max(room, 0.0))
+        available = self.reserve - self.in_flight - self.tokens
+        self.tokens += min(self.ratio * (1 - repeat), max(available, 0.0))
         self.tokens -= repeat * CALL_PRICE
         self.spent[Cause.CALLED] += repeat
 
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -622,7 +622,7 @@
     def _may_place_again(
         self, live: live_calls.LiveCall, answer: messages.Answer, now_ms: int
     ) -> bool:
-        """Tell whether a call that was refused may go to another target.
+        """Return whether a call that was refused may go to another target.
 
         A request that the target's proxy refused did not reach the target.
         It adds no load there and does not count as an attempt. A refusal by
--- a/libs/requests/src/trefoil_requests/ledger.py
+++ b/libs/requests/src/trefoil_requests/ledger.py
@@ -155,7 +155,7 @@
         self.answer_bytes = 0
 
     def can_confirm(self, issued_ms: int, now_ms: int) -> bool:
-        """Tell whether a key with no record was certainly never granted.
+        """Return whether a key with no record was certainly never granted.
 
         True after a full retention period, after a sync with all other
         hosts, or for a key issued after this process started.
@@ -383,7 +383,7 @@
     ) -> list[typing.Any]:
         """Return the messages that send a claim to its replicas.
 
-        Without replicas the claim is undecided at once.
+        Without replicas the claim is undecided immediately.
         """
         self.pending[claim.claim_id] = PendingClaim(
             call_id, claim, now_ms + CLAIM_TIMEOUT_MS
--- a/libs/requests/src/trefoil_requests/live.py
+++ b/libs/requests/src/trefoil_requests/live.py
@@ -89,7 +89,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether it may be sent again after it may have run."""
+        """Return whether it may be sent again after it may have run."""
         return self.route.repeat != messages.Repeat.ONCE
 
     @property
--- a/libs/requests/src/trefoil_requests/occupancy.py
+++ b/libs/requests/src/trefoil_requests/occupancy.py
@@ -1,7 +1,7 @@
 """Log lines on the load of a target's slots and of its host's link.
 
 A target refuses requests when its slots, its queue or the link of its host
-is full. Without these lines the three cases cannot be told apart from outside.
+is full. Without these lines operators cannot distinguish the three cases.
 """
 
 import collections
--- a/libs/requests/src/trefoil_requests/pace.py
+++ b/libs/requests/src/trefoil_requests/pace.py
@@ -35,7 +35,7 @@
 
     @property
     def should_report(self) -> bool:
-        """Tell whether the mean has changed enough to be reported."""
+        """Return whether the mean has changed enough to be reported."""
         if not self.usual_us:
             return False
         return (
--- a/libs/requests/src/trefoil_requests/pending.py
+++ b/libs/requests/src/trefoil_requests/pending.py
@@ -15,11 +15,11 @@
 HOLD_MS = 400
 # The rest of a caller's deadline must suffice for its request and one retry.
 HOLD_SHARE = 0.25
-MAX_HELD = 256
+MAX_PENDING_CALLS = 256
 
 
 @dataclasses.dataclass(slots=True)
-class HeldCall:
+class PendingCall:
     """A call that waits for the first configuration."""
 
     call: calls.Call
@@ -33,16 +33,16 @@
     __slots__ = ("by_id",)
 
     def __init__(self) -> None:
-        self.by_id: dict[int, HeldCall] = {}
+        self.by_id: dict[int, PendingCall] = {}
 
     def hold(self, call: calls.Call, now_ms: int) -> bool:
         """Buffer a call; return False if the buffer is full."""
-        if len(self.by_id) >= MAX_HELD:
+        if len(self.by_id) >= MAX_PENDING_CALLS:
             return False
         hold_ms = HOLD_MS
         if call.deadline_ms:
             hold_ms = min(hold_ms, int(call.deadline_ms * HOLD_SHARE))
-        self.by_id[call.call_id] = HeldCall(call, now_ms, now_ms + hold_ms)
+        self.by_id[call.call_id] = PendingCall(call, now_ms, now_ms + hold_ms)
         return True
 
     def drop(self, call_id: int) -> None:
--- a/libs/requests/src/trefoil_requests/placing.py
+++ b/libs/requests/src/trefoil_requests/placing.py
@@ -139,7 +139,7 @@
         endpoint: routing.Endpoint,
         now_ms: int,
     ) -> bool:
-        """Tell whether another domain would probably reject a call again.
+        """Return whether another domain would probably reject a call again.
 
         In an overload all targets are full. Calls that are rejected in one
         failure domain after the other cross between domains more often than
--- a/libs/requests/src/trefoil_requests/quarantine.py
+++ b/libs/requests/src/trefoil_requests/quarantine.py
@@ -50,7 +50,7 @@
         return len(current)
 
     def refuses(self, fingerprint: int, now_ms: int) -> bool:
-        """Tell whether a request is quarantined and must not run again."""
+        """Return whether a request is quarantined and must not run again."""
         return self.crashes(fingerprint, now_ms) >= CRASHES_ALLOWED
 
     def receive(self, notice: messages.CrashNotice, now_ms: int) -> bool:
--- a/libs/requests/src/trefoil_requests/routing.py
+++ b/libs/requests/src/trefoil_requests/routing.py
@@ -133,7 +133,7 @@
         return [share.version for share in shares if share.permille]
 
     def may_overflow(self, service: str, version: str) -> bool:
-        """Tell whether a full version's calls may go to other versions.
+        """Return whether a full version's calls may go to other versions.
 
         While a move runs, calls overflow only from the version with the
         smaller share to the one with the greater. In the other direction, a
@@ -145,7 +145,7 @@
 
 
 def _is_under_prefix(path: str, prefix: str) -> bool:
-    """Tell whether a prefix covers a path and ends at a segment boundary."""
+    """Return whether a prefix covers a path and ends at a segment boundary."""
     if not path.startswith(prefix):
         return False
     return (
--- a/libs/requests/src/trefoil_requests/target_side.py
+++ b/libs/requests/src/trefoil_requests/target_side.py
@@ -66,7 +66,7 @@
         self.occupancy = occupancies.Occupancy(self.record.name)
 
     def is_cold(self, now_ms: int) -> bool:
-        """Tell whether it is, or may be, slow because it just started."""
+        """Return whether it is, or may be, slow because it just started."""
         if self.slots.warmup.is_cold(now_ms):
             return True
         return self.record.state == messages.TargetState.COLD
@@ -110,7 +110,7 @@
 
     @property
     def is_dispatched(self) -> bool:
-        """Tell whether it was sent to its target."""
+        """Return whether it was sent to its target."""
         return self.dispatched_ms >= 0
 
     @property
@@ -335,14 +335,14 @@
         return target.slots.running if target else 0
 
     def has_processing_times_to_report(self) -> bool:
-        """Tell whether a processing time has changed enough to report."""
+        """Return whether a processing time has changed enough to report."""
         return any(
             target.processing_time.should_report
             for target in self.targets.values()
         )
 
     def has_cold_state_changed(self, now_ms: int) -> bool:
-        """Tell whether a target's cold state differs from its last report."""
+        """Return whether a cold state differs from its last report."""
         return any(
             target.is_cold(now_ms) != target.advertised_cold
             for target in self.targets.values()
@@ -445,7 +445,7 @@
     def _may_request_body(
         self, tracked: TrackedRequest, estimate: bodies.BodyEstimate
     ) -> bool:
-        """Tell whether a body may be requested.
+        """Return whether a body may be requested.
 
         As with slots, a request that can still go to another host does not
         wait here: the refusal carries the load of this host, and the entry
@@ -693,7 +693,7 @@
             )
 
     def _is_body_too_late(self, tracked: TrackedRequest, now_ms: int) -> bool:
-        """Tell whether a requested body cannot be complete in time.
+        """Return whether a requested body cannot be complete in time.
 
         A deferred body waits until the link is idle. If it were kept until
         its deadline, its caller would have no time left to retry.
--- a/libs/requests/src/trefoil_requests/warmup.py
+++ b/libs/requests/src/trefoil_requests/warmup.py
@@ -27,7 +27,7 @@
 
     Args:
         per_s: Requests per second.
-        burst: Requests at once after a time without any.
+        burst: Requests in immediate succession after a time without any.
         lasts_ms: How long a target stays cold after its start.
     """
 
@@ -80,11 +80,11 @@
         self.refilled_at_ms = 0
 
     def is_cold(self, now_ms: int) -> bool:
-        """Tell whether the target is cold, or may be."""
+        """Return whether the target is cold, or may be."""
         return now_ms < self.cold_until_ms
 
     def is_limited(self, now_ms: int) -> bool:
-        """Tell whether the rate limit applies to the target now."""
+        """Return whether the rate limit applies to the target now."""
         return self.limit is not None and now_ms < self.cold_until_ms
 
     def announce(self, left_ms: int, now_ms: int) -> None:
@@ -114,7 +114,7 @@
             self.assumed_cold = True
 
     def may_start(self, now_ms: int) -> bool:
-        """Tell whether the target may start a request now."""
+        """Return whether the target may start a request now."""
         return not self.is_limited(now_ms) or self._refill(now_ms) >= 1.0
 
     def started(self, now_ms: int) -> None:
--- a/libs/requests/tests/test_bodies.py
+++ b/libs/requests/tests/test_bodies.py
@@ -269,7 +269,7 @@
 
 
 def estimate(**fields: float) -> bodies.BodyEstimate:
-    """Return the estimate of a body that is sent at once to a free target."""
+    """Return the estimate of a body that is sent to a free target."""
     given = {
         "body_ms": 90.0,
         "deferred_ms": 90.0,
--- a/libs/requests/tests/test_ledger.py
+++ b/libs/requests/tests/test_ledger.py
@@ -64,7 +64,7 @@
 
 
 def test_a_host_that_left_recently_stays_in_the_ranking() -> None:
-    """Otherwise two replicas of a key could change at once."""
+    """Otherwise two replicas of a key could change together."""
     replica_sets = ledgers.ReplicaSets()
     replica_sets.update({"s": ["a", "b", "c", "d"]}, 0)
     before = replica_sets.replicas("s", 5, 0)
--- a/libs/requests/tests/test_overload.py
+++ b/libs/requests/tests/test_overload.py
@@ -42,7 +42,7 @@
 
     def __init__(self, load: float) -> None:
         self.rng = random.Random(1)
-        self.gate = admission.AdmissionController(SLOTS)
+        self.controller = admission.AdmissionController(SLOTS)
         self.original_deadline = original_deadlines.OriginalDeadlines()
         self.events: list[tuple[float, int, typing.Any]] = []
         self.ids = itertools.count(1)
@@ -95,7 +95,7 @@
             due_at_ms=int(now_ms) + LATENCY_TARGET_MS - waited_ms,
             route="r",
         )
-        decision = self.gate.offer(waiting, int(now_ms))
+        decision = self.controller.offer(waiting, int(now_ms))
         match decision:
             case admission.Admitted():
                 self._start(call_id, now_ms)
@@ -104,7 +104,9 @@
             case admission.Queued():
                 if decision.evicted:
                     self._refuse(
-                        decision.evicted, now_ms, self.gate.wait_ms(now_ms)
+                        decision.evicted,
+                        now_ms,
+                        self.controller.wait_ms(now_ms),
                     )
 
     def _start(self, call_id: int, now_ms: float) -> None:
@@ -114,11 +116,11 @@
 
     def _end(self, call_id: int, now_ms: float) -> None:
         caller = self.waiting.pop(call_id)
-        self.gate.finished(now_ms - caller.started_ms, "r")
+        self.controller.finished(now_ms - caller.started_ms, "r")
         took_ms = now_ms - caller.first_sent_ms
         self.in_time += took_ms <= LATENCY_TARGET_MS
         self.late += LATENCY_TARGET_MS < took_ms <= CALLER_TIMEOUT_MS
-        next_call_id = self.gate.next_admitted(int(now_ms))
+        next_call_id = self.controller.next_admitted(int(now_ms))
         if next_call_id is not None:
             self._start(next_call_id, now_ms)
 
@@ -131,8 +133,8 @@
             self._schedule(retry_at_ms, self._arrive, caller)
 
     def _expire(self, _: None, now_ms: float) -> None:
-        for call_id in self.gate.expired(int(now_ms)):
-            self._refuse(call_id, now_ms, self.gate.wait_ms(now_ms))
+        for call_id in self.controller.expired(int(now_ms)):
+            self._refuse(call_id, now_ms, self.controller.wait_ms(now_ms))
 
 
 def test_below_capacity_nearly_all_answers_are_timely() -> None:
--- a/libs/requests/tests/test_pace.py
+++ b/libs/requests/tests/test_pace.py
@@ -45,7 +45,7 @@
 
 
 def is_slow(number: int) -> bool:
-    """Tell whether a target belongs to the slow third."""
+    """Return whether a target belongs to the slow third."""
     return number % 3 == 2
 
 
@@ -118,7 +118,7 @@
 
     Run times have a standard deviation of 0.8 of their mean. 36,000 requests
     are two minutes of a target with 300 a second. The first reports come
-    while the mean settles.
+    while the mean converges.
     """
     rng = random.Random(1)
     processing_time = processing_times.ProcessingTime()
--- a/libs/requests/tests/test_target_side.py
+++ b/libs/requests/tests/test_target_side.py
@@ -395,7 +395,7 @@
 
 
 def test_late_bodies_of_a_short_burst_are_served() -> None:
-    """Of twenty bodies at once all are served before their deadlines."""
+    """Of twenty simultaneous bodies all are served before their deadlines."""
     uploads = Uploads(interval_ms=20).run(400, then_ms=2500)
     assert len(uploads.took_ms) == 20
     assert not uploads.refused
