--- a/libs/moves/src/trefoil_moves/command_results.py
+++ b/libs/moves/src/trefoil_moves/command_results.py
@@ -95,7 +95,7 @@
     """Return why a numbered document may not replace the current one.
 
     Otherwise two writers that build on the same document would overwrite
-    each other; the second is told that another document is in force.
+    each other; the second is refused with the number of the one in force.
     """
     number = current.number if current is not None else 0
     if offered.base != number:
--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -265,7 +265,7 @@
         return self.parameters.window_ms
 
     def _can_begin_clearance(self, now_ms: int) -> bool:
-        """Tell whether the collection of evidence for clearance can begin.
+        """Return whether the collection of evidence for clearance can begin.
 
         Reports must cover only requests at full traffic, so the share must
         have reached every proxy, and a report interval must have passed
@@ -388,7 +388,7 @@
         )
 
     def _has_evidence(self) -> bool:
-        """Tell whether each route had enough requests at this step.
+        """Return whether each route had enough requests at this step.
 
         A low-traffic route, with under 2% of the requests, doesn't delay the
         move, since the watch at full traffic covers it too.
@@ -432,7 +432,7 @@
         return None
 
     def _needs_comparison(self, suspicion: comparisons.Suspicion) -> bool:
-        """Tell whether a suspicion needs a comparison before a rollback.
+        """Return whether a suspicion needs a comparison before a rollback.
 
         At full traffic each failure hits a request, so a move of seconds is
         taken back for failures without a comparison. Latency often grows for
--- a/libs/moves/src/trefoil_moves/exposure.py
+++ b/libs/moves/src/trefoil_moves/exposure.py
@@ -54,7 +54,7 @@
 
     @property
     def is_bounded(self) -> bool:
-        """Tell whether operators have set a bound."""
+        """Return whether operators have set a bound."""
         return self.max_share < 1.0
 
     def add(self, window: evidences.Window) -> None:
--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -319,12 +319,12 @@
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether the evidence clears the new version."""
+        """Return whether the evidence clears the new version."""
         return self.clearance is not None and self.clearance.is_clear
 
     @property
     def is_unfavorable(self) -> bool:
-        """Tell whether more evidence is against the version than for it."""
+        """Return whether more evidence is against the version than for it."""
         return self.clearance is not None and self.clearance.sum < 0
 
     def _add_to_clearance(self, window: evidences.Window) -> None:
@@ -393,7 +393,7 @@
         return base_bucket >= 0 and tail_bucket - base_bucket >= TAIL_BUCKETS
 
     def has_early_warning(self) -> bool:
-        """Tell whether a test has half of the evidence for a verdict."""
+        """Return whether a test has half of the evidence for a verdict."""
         half = self.threshold / 2
         return any(
             max(comparison.failures.evidence, comparison.slowness.evidence)
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -84,7 +84,7 @@
     def is_accepted(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> bool:
-        """Tell whether the watch at full traffic may end in success."""
+        """Return whether the watch at full traffic may end in success."""
 
     def rollback_reason(
         self, move: messages.MoveRecord, status: MoveStatus
@@ -128,7 +128,7 @@
     def is_accepted(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> bool:
-        """Tell whether the watch has lasted as long as requested."""
+        """Return whether the watch has lasted as long as requested."""
         return status.at_step_ms >= move.watch_ms
 
     def rollback_reason(
@@ -215,7 +215,7 @@
     def is_accepted(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> bool:
-        """Tell whether requests at full traffic have cleared the version.
+        """Return whether requests at full traffic have cleared the version.
 
         A watch of fixed length accepts bad versions before their first
         failures are reported, and an accepted version is no longer watched.
@@ -251,7 +251,7 @@
         return NO_TIME_REASON if is_late and status.has_early_warning else ""
 
     def _is_budget_spent(self, status: MoveStatus) -> bool:
-        """Tell whether a fault from now on would exceed the budget."""
+        """Return whether a fault from now on would exceed the budget."""
         left_ms = self.exposure.remaining_ms(status.counted_ms)
         return left_ms <= status.detection_delay_ms
 
--- a/libs/moves/src/trefoil_moves/sequential.py
+++ b/libs/moves/src/trefoil_moves/sequential.py
@@ -120,7 +120,7 @@
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether the evidence has reached the threshold."""
+        """Return whether the evidence has reached the threshold."""
         return self.sum >= self.threshold
 
 
--- a/libs/moves/tests/test_evacuations.py
+++ b/libs/moves/tests/test_evacuations.py
@@ -35,7 +35,7 @@
 
 
 def is_evacuated(state: states.State) -> bool:
-    """Tell whether the domain is evacuated."""
+    """Return whether the domain is evacuated."""
     return state.items.get(KEY) is not None
 
 
@@ -60,7 +60,7 @@
 
 
 def test_a_delayed_call_does_not_evacuate_the_domain_again() -> None:
-    """A frozen host submits the call after the evacuation has ended."""
+    """A suspended host submits the call after the evacuation has ended."""
     state = states.State()
     state.apply(5, evacuation("a", known=4))
     state.apply(6, evacuation("b", evacuated=False, known=5))
