--- a/libs/fleet/src/trefoil_fleet/distribution.py
+++ b/libs/fleet/src/trefoil_fleet/distribution.py
@@ -160,7 +160,7 @@
     # Floor
 
     def query_floor_if_unproved(self, peer: str) -> None:
-        """Query a peer at once if the floor is not proved yet.
+        """Query a peer immediately if the floor is not proved yet.
 
         Until it is proved a proxy refuses its callers, so it does not wait
         for the next regular query.
--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -93,7 +93,7 @@
         """Turn a reported death of a host that is alive here into a suspicion.
 
         When a network partition heals, each side has declared the other
-        dead. If that were accepted at once, every target would be removed
+        dead. If that were accepted immediately, every target would be removed
         from routing until its host refuted it, and callers would be refused
         for a second.
         """
@@ -129,7 +129,7 @@
         """Suspect unresponsive hosts if messages arrive from other peers.
 
         A process that receives no messages is cut off itself. If it
-        suspected hosts at once, an isolated control host would declare the
+        suspected hosts immediately, an isolated control host would declare the
         whole fleet dead and flood that when the partition heals, and every
         host would have to refute it. A message from another peer after the
         host became unresponsive shows that this process is not cut off.
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -240,7 +240,7 @@
         if self.join_tokens >= 1 or exempt:
             self.join_tokens -= 1
             return 0
-        # Serving many joining peers at once would delay the heartbeats of
+        # Serving many joining peers together would delay the heartbeats of
         # linked peers, which would then disconnect and join again as well.
         wait_ms = 1000 + 1000 * abs(self.join_tokens) / self.joins_per_s
         return int(wait_ms * self.rng.uniform(0.5, 1.5))
@@ -664,10 +664,14 @@
 
     def _is_behind(self, summary: messages.RecordsSummary) -> bool:
         unknown = (-1, -1, -1)
-        for theirs in summary.versions:
-            own = self.members.records.get(theirs.host)
-            mine = record_store.version_of(own) if own else unknown
-            if (theirs.incarnation, theirs.sequence, theirs.state) > mine:
+        for peer_version in summary.versions:
+            own = self.members.records.get(peer_version.host)
+            own_version = record_store.version_of(own) if own else unknown
+            if (
+                peer_version.incarnation,
+                peer_version.sequence,
+                peer_version.state,
+            ) > own_version:
                 return True
         return False
 
--- a/libs/fleet/src/trefoil_fleet/overlay.py
+++ b/libs/fleet/src/trefoil_fleet/overlay.py
@@ -18,7 +18,7 @@
 EXTRA_LINKS_DELAY_MS = 1500
 # Range of the delay before a move to a preferred control host that was just
 # listed. It is short, but random, so that proxies that receive the list at
-# the same time do not all move at once.
+# the same time do not all move together.
 MOVE_DELAY_MS = (300, 1500)
 # Long enough for the peer to dial first (one tick and a round trip), short
 # compared with an election.
--- a/libs/fleet/src/trefoil_fleet/records.py
+++ b/libs/fleet/src/trefoil_fleet/records.py
@@ -21,7 +21,7 @@
     """Return the sort key of a host's records; the greatest one wins.
 
     At equal incarnation and sequence the worse state wins, so a suspicion
-    stands until the host itself refutes it with a higher sequence.
+    remains until the host itself refutes it with a higher sequence.
     """
     return record.incarnation, record.sequence, record.state
 
@@ -145,20 +145,20 @@
         recent_only: bool,
     ) -> list[messages.HostRecord]:
         """Return the records that a summary lacks or has in older versions."""
-        theirs = {
+        peer_versions = {
             v.host: (v.incarnation, v.sequence, v.state) for v in versions
         }
         unknown = (-1, -1, -1)
         newer = [
             self.by_host[host]
-            for host, version in theirs.items()
+            for host, version in peer_versions.items()
             if host in self.by_host
             and version_of(self.by_host[host]) > version
         ]
         newer.extend(
             record
             for record in self._selected(now_ms, recent_only)
-            if theirs.get(record.host, unknown) == unknown
+            if peer_versions.get(record.host, unknown) == unknown
         )
         return newer
 
--- a/libs/fleet/tests/test_node.py
+++ b/libs/fleet/tests/test_node.py
@@ -497,7 +497,7 @@
 def test_reports_are_resent_to_a_new_leader() -> None:
     """After a change of leader the new one must know all revisions in force.
 
-    A report already sent to the old leader is sent to the new one at once,
+    A report already sent to the old leader is sent to the new one immediately,
     not only when its proxy refreshes it half a minute later.
     """
     record = messages.HostRecord(
--- a/libs/fleet/tests/test_overlay.py
+++ b/libs/fleet/tests/test_overlay.py
@@ -127,12 +127,12 @@
 
 
 def test_proxy_dials_others_when_its_uplink_is_unresponsive() -> None:
-    """A control host freezes while a new configuration is accepted.
+    """A control host is suspended while a new configuration is accepted.
 
-    The frozen host neither answers nor closes the link, so its proxies would
-    serve the old configuration until the link times out after 3.5 s. They
-    link to the others after a missed heartbeat, and keep the unresponsive
-    link in case its host resumes.
+    It neither answers nor closes the link, so its proxies would serve the old
+    configuration until the link times out after 3.5 s. They link to the
+    others after a missed heartbeat, and keep the unresponsive link in case
+    its host resumes.
     """
     node, uplink, other = linked_proxy()
     receive_heartbeat(node, uplink, True, 100)
@@ -180,7 +180,7 @@
 
 
 def test_old_uplink_stays_until_the_new_one_works() -> None:
-    """A new proxy moves to the control host of its domain, which is frozen.
+    """A new proxy moves to its domain's control host, which is suspended.
 
     The dial takes three seconds to fail. If the proxy disconnected its old
     uplink first, it would miss a configuration accepted meanwhile. It
@@ -196,7 +196,7 @@
 
 
 def test_failed_move_keeps_the_old_uplink() -> None:
-    """The dial to the frozen host fails; the old uplink keeps serving."""
+    """The dial to the suspended host fails; the old uplink keeps serving."""
     node, old = proxy_about_to_move()
     receive_heartbeat(node, old, True, 200 + overlays.MOVE_DELAY_MS[1])
     node.unlinked("c3", 5000)
@@ -218,10 +218,10 @@
     assert dialled(node.tick(100 + nodes.UPLINK_WAIT_MS)) == [uplink]
 
 
-def test_reports_bypass_a_frozen_uplink() -> None:
-    """The uplink is frozen while another control host is linked.
+def test_reports_bypass_a_suspended_uplink() -> None:
+    """The uplink is suspended while another control host is linked.
 
-    Evidence against a bad version sent to the frozen host would reach the
+    Evidence against a bad version sent to the suspended host would reach the
     leader only after that host resumes.
     """
     node, uplink, other = linked_proxy()
