--- a/libs/quorum/src/trefoil_quorum/raft.py
+++ b/libs/quorum/src/trefoil_quorum/raft.py
@@ -48,7 +48,7 @@
 # candidates would split the vote, so the voters' first elections are staggered
 # by this interval.
 ELECTION_STAGGER_MS = 100
-# A frozen or partitioned host usually returns within seconds. A voter that
+# A suspended or partitioned host usually returns within seconds. A voter that
 # stays silent longer only enlarges the majority that the others must form.
 VOTER_REMOVAL_MS = 8000
 CHANGE_VOTERS_CODE = frames.CODES[messages.ChangeVoters]
@@ -230,8 +230,8 @@
         self.election_at_ms = 0
         self._update_config()
         self.leader_seen = False
-        # A single voter starts an election at once. With more voters, no peer
-        # is reachable yet that could be asked for a vote.
+        # A single voter starts an election immediately. With more voters, no
+        # peer is reachable yet that could be asked for a vote.
         only_voter = self.majority == 1
         first_ms = 0 if only_voter else election_ms // 4
         self.election_at_ms = (
@@ -308,7 +308,7 @@
     def read(self, read_id: int, now_ms: int) -> list[typing.Any]:
         """Start a linearizable read of the applied state (read index).
 
-        A leader that was frozen past its lease still considers itself the
+        A leader that was suspended past its lease still considers itself the
         leader and would answer from stale state. Each read therefore waits
         until a majority has acknowledged a round started after the read
         arrived. A deposed leader never gets these acknowledgements.
@@ -603,9 +603,9 @@
         """Return the entries to send to a follower now.
 
         Entries are not sent again until the follower reports them missing,
-        and a follower that is frozen or partitioned gets none. Otherwise each
-        heartbeat would queue all missing entries again on the link, and the
-        follower would run out of memory when it resumes.
+        and a follower that is suspended or partitioned gets none. Otherwise
+        each heartbeat would queue all missing entries again on the link, and
+        the follower would run out of memory when it resumes.
         """
         unacknowledged = progress.next_index - 1 - progress.match_index
         silent = self.now_ms - progress.acked_ms >= FOLLOWER_TIMEOUT_MS
--- a/libs/quorum/tests/test_losses.py
+++ b/libs/quorum/tests/test_losses.py
@@ -7,7 +7,7 @@
 from trefoil_quorum import raft as rafts
 from trefoil_wire import messages
 
-# Number of control hosts and how many of their disks may be lost at once.
+# Number of control hosts and how many of their disks may be lost together.
 TOLERATED_DISK_LOSSES = [(3, 1), (4, 1), (5, 2), (6, 2), (7, 3)]
 
 
@@ -35,5 +35,5 @@
         for lost in itertools.combinations(all_hosts, lost_disks):
             survivors = all_hosts - set(lost)
             assert len(survivors) >= majority
-            for electors in itertools.combinations(survivors, majority):
-                assert set(electors) & set(acknowledged)
+            for quorum in itertools.combinations(survivors, majority):
+                assert set(quorum) & set(acknowledged)
--- a/libs/quorum/tests/test_raft.py
+++ b/libs/quorum/tests/test_raft.py
@@ -1,7 +1,8 @@
 """Tests of Raft under lost, duplicated, reordered and delayed messages.
 
 Three Raft cores exchange messages through a list. Hypothesis chooses which
-messages are delivered and which processes crash, lose their disk or freeze.
+messages are delivered and which processes crash, lose their disk or are
+suspended.
 """
 
 import ast
@@ -244,13 +245,13 @@
 
 
 class ReliableCluster:
-    """Three processes on a reliable network; any can be isolated or frozen."""
+    """Three processes on a reliable network, some isolated or suspended."""
 
     def __init__(self, seed: int = 1) -> None:
         rng = random.Random(seed)
         self.processes = {name: Process(name, rng) for name in NAMES}
         self.isolated: set[str] = set()
-        self.frozen: set[str] = set()
+        self.suspended: set[str] = set()
         self.in_flight: list[tuple[str, common.Send]] = []
         self.ready: list[int] = []
         self.failed: list[int] = []
@@ -267,13 +268,13 @@
             self.in_flight.append((name, send))
 
     def run(self, duration_ms: int) -> None:
-        """Advance time for all processes that are not frozen."""
+        """Advance time for all processes that are not suspended."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             self.now_ms += 25
             for name, process in self.processes.items():
                 process.now_ms = self.now_ms
-                if name not in self.frozen:
+                if name not in self.suspended:
                     self.perform(name, process.raft.tick(self.now_ms))
             self._deliver()
 
@@ -282,7 +283,7 @@
         while self.in_flight:
             source, send = self.in_flight.pop(0)
             recipient = rafts.process_name(send.to)
-            if recipient in self.frozen:
+            if recipient in self.suspended:
                 deferred.append((source, send))
                 continue
             process = self.processes[recipient]
@@ -334,7 +335,7 @@
 
 
 def test_a_resumed_stale_leader_cannot_answer_reads() -> None:
-    """A leader is frozen for longer than an election takes, then resumes.
+    """A leader is suspended for longer than an election takes, then resumes.
 
     Meanwhile a new leader commits another command. The old leader still
     considers itself the leader and would answer a read from stale state. Its
@@ -345,11 +346,11 @@
     old_leader = cluster.leader()
     cluster.propose(old_leader, "before")
     cluster.run(400)
-    cluster.frozen.add(old_leader.name)
+    cluster.suspended.add(old_leader.name)
     cluster.run(5000)
     cluster.propose(cluster.leader(), "meanwhile")
     cluster.run(400)
-    cluster.frozen.clear()
+    cluster.suspended.clear()
     assert old_leader.raft.is_leader
     cluster.read(old_leader, 7)
     cluster.run(1000)
@@ -543,7 +544,7 @@
 def test_a_learner_becomes_voter_only_after_catching_up() -> None:
     """A process that lost its disk is added while it receives no messages.
 
-    If it became a voter at once, it would count towards the quorum with an
+    If it became a voter immediately, it would count towards the quorum with an
     empty log, and the loss of one more process would block every command.
     """
     cluster = ReliableCluster()
--- a/libs/quorum/tests/test_replication.py
+++ b/libs/quorum/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Tests what a leader sends to followers that lag or are frozen."""
+"""Tests what a leader sends to followers that lag or are suspended."""
 
 import random
 
@@ -59,8 +59,8 @@
     return raft.receive(peer, reply, now_ms)
 
 
-def test_a_frozen_follower_is_not_flooded() -> None:
-    """A follower freezes while many configurations are committed.
+def test_a_suspended_follower_is_not_flooded() -> None:
+    """A follower is suspended while many configurations are committed.
 
     If each heartbeat carried all entries that it lacks, it would receive
     hundreds of megabytes when it resumes, and run out of memory. It must get
@@ -85,7 +85,7 @@
 
 
 def test_a_resumed_follower_receives_its_missing_entries() -> None:
-    """A frozen follower resumes, answers a heartbeat and must catch up.
+    """A suspended follower resumes, answers a heartbeat and must catch up.
 
     The leader withheld its entries while it was silent and must send them now.
     """
