--- a/libs/emulator/src/trefoil_emulator/control_net.py
+++ b/libs/emulator/src/trefoil_emulator/control_net.py
@@ -76,7 +76,7 @@
         Args:
             name: Name of the process, which is its host.
             found: Whether it may take part in founding the cluster.
-            lost_disks: Control hosts that may lose their disks at once.
+            lost_disks: Control hosts that may lose their disks together.
         """
         parsed = setting_store.parse(
             f"host: {name}\ndomain: d\npeers: {name}:7000\n"
--- a/libs/store/tests/test_store.py
+++ b/libs/store/tests/test_store.py
@@ -38,15 +38,17 @@
 LAST_RECORD = len(stores.encode_record(frames.pack(entry(5))))
 
 
-@pytest.mark.parametrize("cut_bytes", range(1, LAST_RECORD + 1))
-def test_a_torn_record_is_truncated(cut_bytes: int) -> None:
+@pytest.mark.parametrize("truncated_bytes", range(1, LAST_RECORD + 1))
+def test_a_torn_record_is_truncated(truncated_bytes: int) -> None:
     """A crash during an append leaves a torn record at the end of the log.
 
     The record may end at any byte. Nothing in it was acknowledged, because
     entries are acknowledged only after the sync, so the store drops it.
     """
     disk = filled_disk()
-    disk.files[stores.LOG_FILE] = disk.files[stores.LOG_FILE][:-cut_bytes]
+    disk.files[stores.LOG_FILE] = disk.files[stores.LOG_FILE][
+        :-truncated_bytes
+    ]
     store = stores.Store.open(disk)
     assert indexes(store) == [1, 2, 3, 4]
     store.append([entry(5)])
