--- a/bench/convergence.py
+++ b/bench/convergence.py
@@ -3,7 +3,7 @@
 Runs real processes on loopback at several fleet sizes. Measures the time from
 accepted to in force; control bytes by kind when idle, under churn and for each
 change; CPU share and memory; and the time until half of the fleet, killed and
-restarted at once, has a configuration again. Times are read from the
+restarted together, has a configuration again. Times are read from the
 processes' own log lines. Prints JSON last.
 """
 
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -102,7 +102,8 @@
         in_one_domain: Whether only one failure domain has shared failures.
         burst_factor: Factor on the rate for a while.
         lost_reports_share: Share of reports that are lost.
-        cuts_domain: Whether a failure domain is cut off for a while.
+        partitions_domain: Whether a failure domain is partitioned from the
+            others for a while.
         rate_factor: Factor on the rate of the whole trace.
     """
 
@@ -120,7 +121,7 @@
     in_one_domain: bool = False
     burst_factor: float = 1.0
     lost_reports_share: float = 0.0
-    cuts_domain: bool = False
+    partitions_domain: bool = False
     rate_factor: float = 1.0
 
 
@@ -148,7 +149,7 @@
     ),
     Fault("burst of load", bad=False, burst_factor=2.5),
     Fault("lost and crossed reports", bad=False, lost_reports_share=0.2),
-    Fault("cut-off domain", bad=False, cuts_domain=True),
+    Fault("cut-off domain", bad=False, partitions_domain=True),
     Fault("thin traffic", bad=False, rate_factor=0.05),
 ]
 
@@ -430,7 +431,7 @@
             self.full_traffic_ms = now_ms
         for proxy in range(PROXIES):
             after_ms = int(self.rng.uniform(20, MAX_PROPAGATION_MS))
-            if self._is_cut(proxy % DOMAINS, now_ms):
+            if self._is_partitioned(proxy % DOMAINS, now_ms):
                 after_ms = int(self.event_at_ms + 15_000 - now_ms) + 300
             self.share_changes.append(
                 (now_ms + after_ms, proxy, self.index, share)
@@ -442,8 +443,8 @@
         self.reports = [r for r in self.reports if r[0] > now_ms]
         return [report for _, _, report in sorted(due, key=lambda r: r[:2])]
 
-    def _is_cut(self, domain: int, now_ms: float) -> bool:
-        if not self.fault.cuts_domain or domain != self.event_domain:
+    def _is_partitioned(self, domain: int, now_ms: float) -> bool:
+        if not self.fault.partitions_domain or domain != self.event_domain:
             return False
         return self.event_at_ms <= now_ms < self.event_at_ms + 15_000
 
@@ -590,7 +591,7 @@
                 continue
             self.report_bytes += len(frames.encode(report))
             lost = self.rng.random() < self.fault.lost_reports_share
-            if lost or self._is_cut(proxy % DOMAINS, now_ms):
+            if lost or self._is_partitioned(proxy % DOMAINS, now_ms):
                 continue
             max_delay_ms = 1500 if self.fault.lost_reports_share else 100
             at_ms = now_ms + int(self.rng.uniform(5, max_delay_ms))
