--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -25,7 +25,7 @@
 
 # Allows at most nine faults; the whole run ends within half a minute.
 FAULT_PERIOD_S = 12.0
-# Eleven Python processes start at once, possibly on a busy machine.
+# Eleven Python processes start together, possibly on a busy machine.
 LEADER_TIMEOUT_S = 40.0
 # How long calls continue after the period in which faults begin.
 EXTRA_LOAD_S = 1.0
@@ -64,7 +64,7 @@
         """Run the deployment under faults and collect the problems.
 
         Raises:
-            NeverCame: No leader was elected in time, or the first document
+            WaitTimeout: No leader was elected in time, or the first document
                 was not accepted.
         """
         relays = relay_module.Relays()
--- a/tests/test_control_processes.py
+++ b/tests/test_control_processes.py
@@ -61,15 +61,15 @@
     """
     leader = fleet.leader()
     at = other_controls(fleet, leader)[0]
-    killer = threading.Timer(0.3, fleet.kill, [leader])
-    killer.start()
+    kill_timer = threading.Timer(0.3, fleet.kill, [leader])
+    kill_timer.start()
     results = {}
     for number in range(12):
         line = f"drain d{number}"
         command_number = f"{int(time.time() * 1000)}-{number}"
         answer = fleet.execute(line, at=at, number=command_number, wait_s=20)
         results[command_number] = (line, answer["outcome"])
-    killer.join()
+    kill_timer.join()
     assert {outcome for _, outcome in results.values()} == {"done"}
     for command_number, (line, outcome) in results.items():
         resent = fleet.execute(line, at=at, number=command_number)
@@ -144,7 +144,7 @@
 
 
 def test_all_are_killed_and_started_together(fleet) -> None:
-    """All processes are killed at once after a hundred changes.
+    """All processes are killed together after a hundred changes.
 
     The control processes must restore their state from snapshots and logs.
     The proxies, which keep no state on disk, must reach at least the same
@@ -194,7 +194,7 @@
 
 
 def test_operators_race_with_equal_numbers(fleet) -> None:
-    """Two operators send different commands under one number at once.
+    """Two operators send different commands under one number concurrently.
 
     Only one of the commands may run.
     """
--- a/tests/test_move_processes.py
+++ b/tests/test_move_processes.py
@@ -80,8 +80,8 @@
         target=lambda: asyncio.run(generator.run(40, shapes)), daemon=True
     )
     traffic.start()
-    killer = threading.Timer(5, fleet.kill, [leader])
-    killer.start()
+    kill_timer = threading.Timer(5, fleet.kill, [leader])
+    kill_timer.start()
 
     def final_outcome() -> str:
         answer = fleet.try_execute("is move of tables done", at=at, wait_s=2)
@@ -91,7 +91,7 @@
         )
 
     assert fleets.wait_for("the outcome", final_outcome, 60, 0.3) == outcome
-    killer.join()
+    kill_timer.join()
     steps = fleet.execute("explain tables", at=at)["rows"]
     assert steps[0]["what"].endswith("started")
     share = "v2=100%" if outcome == "done" else "v1=100%"
--- a/tests/test_request_processes.py
+++ b/tests/test_request_processes.py
@@ -90,8 +90,8 @@
     return answers
 
 
-@pytest.mark.parametrize("victim", ["t-h2", "h2", "h1"])
-def test_a_process_is_killed_amid_payments(fleet, victim) -> None:
+@pytest.mark.parametrize("killed_process", ["t-h2", "h2", "h1"])
+def test_a_process_is_killed_amid_payments(fleet, killed_process) -> None:
     """A target, its proxy or the entry proxy is killed amid payments.
 
     Forty payments are sent and retried with the same key. Counted at the
@@ -106,9 +106,9 @@
             for n in range(40)
         ]
         time.sleep(0.1)
-        fleet.kill(victim)
+        fleet.kill(killed_process)
         answers = [job.result() for job in jobs]
-    alive = [f"t-{h}" for h in HOSTS if f"t-{h}" != victim]
+    alive = [f"t-{h}" for h in HOSTS if f"t-{h}" != killed_process]
     counted = runs(fleet, alive)
     assert max(counted.values()) == 1
     succeeded = sum(attempts[-1].status == 200 for attempts in answers)
@@ -122,12 +122,14 @@
     killed process. After two seconds every request must be answered.
     """
     addresses = [fleet.members[h].address("callers") for h in ("h1", "h3")]
-    for victim in ("t-h2", "h2", "control1"):
-        fleet.kill(victim)
+    for killed_process in ("t-h2", "h2", "control1"):
+        fleet.kill(killed_process)
         generator = load.Load(addresses, 60, seed=3)
         asyncio.run(generator.run(4, [load.RequestTemplate(path="/slots")]))
         late = [s for s in generator.samples if s.due_s > 2]
-        assert [s.status for s in late if s.status != 200] == [], victim
+        assert [
+            s.status for s in late if s.status != 200
+        ] == [], killed_process
 
 
 def test_a_suspended_target_fails_only_its_own_requests(fleet) -> None:
@@ -150,7 +152,8 @@
 def test_a_poison_request_stops_after_two_targets(fleet) -> None:
     """A caller retries a request that crashes each target that runs it.
 
-    After two crashes it must be refused, and the other targets must live.
+    After two crashes it must be refused, and the other targets must keep
+    running.
     """
     for host in HOSTS:
         fleet.behave(f"t-{host}", crash_word="poison")
@@ -171,7 +174,7 @@
     assert fleet.call(live_host, "/slots").status == 200
 
 
-def test_a_rolling_restart_cuts_no_payment(fleet) -> None:
+def test_a_rolling_restart_interrupts_no_payment(fleet) -> None:
     """Three proxies are shut down and restarted in turn during payments.
 
     Requests in flight must be answered. A proxy that shuts down must refuse
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -92,17 +92,19 @@
 
 
 def test_shutdowns_near_faults_are_not_checked() -> None:
-    """A payment cut by a shutdown is reported only if it ran.
+    """A payment interrupted by a shutdown is reported only if it ran.
 
     It must not be reported if a target was killed just before.
     """
-    cut = attempt("pay1.0", 0, 5.0)
+    interrupted = attempt("pay1.0", 0, 5.0)
     shutdowns = [deployment.Shutdown("h1", 4.0, 6.0)]
     killed = [plans.Fault(3.0, plans.Kind.KILL, "t1", 1.0)]
     runs = ["pay1.0"]
-    assert checks.check_shutdowns([cut], runs, shutdowns, [], 0.0)
-    assert not checks.check_shutdowns([cut], runs, shutdowns, killed, 0.0)
-    assert not checks.check_shutdowns([cut], [], shutdowns, [], 0.0)
+    assert checks.check_shutdowns([interrupted], runs, shutdowns, [], 0.0)
+    assert not checks.check_shutdowns(
+        [interrupted], runs, shutdowns, killed, 0.0
+    )
+    assert not checks.check_shutdowns([interrupted], [], shutdowns, [], 0.0)
 
 
 class EchoServer:
