--- a/libs/fleet/src/trefoil_fleet/membership.py
+++ b/libs/fleet/src/trefoil_fleet/membership.py
@@ -35,7 +35,7 @@
         "probe_at_ms",
         "unresponsive_since_ms",
         "pending_effects",
-        "flood",
+        "pending_records",
     )
 
     def __init__(
@@ -54,7 +54,7 @@
         self.probe_at_ms = 0
         self.unresponsive_since_ms: dict[str, int] = {}
         self.pending_effects: list[typing.Any] = []
-        self.flood: list[messages.HostRecord] = []
+        self.pending_records: list[messages.HostRecord] = []
 
     def start(self, now_ms: int) -> None:
         """Publish this host's record, unless this is a control process."""
@@ -152,7 +152,7 @@
     def _suspect(self, host: str, now_ms: int) -> None:
         marked = self.records.mark(host, State.SUSPECT, now_ms)
         if marked is not None:
-            self.flood.append(marked)
+            self.pending_records.append(marked)
             self.pending_effects.append(effects.RecordsChanged([host]))
             self.pending_effects.append(
                 common.Note("member.suspect", {"peer": host})
@@ -227,5 +227,5 @@
 
     def _publish_own(self, now_ms: int) -> None:
         self.records.put(self.record, now_ms)
-        self.flood.append(self.record)
+        self.pending_records.append(self.record)
         self.pending_effects.append(effects.RecordsChanged([self.record.host]))
--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -233,8 +233,10 @@
             0 to serve it, otherwise the time it should wait, in
             milliseconds.
         """
-        gained = (now_ms - self.join_ms) * self.joins_per_s / 1000
-        self.join_tokens = min(self.join_tokens + gained, float(JOIN_BURST))
+        new_tokens = (now_ms - self.join_ms) * self.joins_per_s / 1000
+        self.join_tokens = min(
+            self.join_tokens + new_tokens, float(JOIN_BURST)
+        )
         self.join_ms = now_ms
         exempt = hello.control or hello.host in self.overlay.seeds
         if self.join_tokens >= 1 or exempt:
@@ -397,9 +399,12 @@
     def _flush(self) -> list[typing.Any]:
         self.pending_effects.extend(self.members.pending_effects)
         self.members.pending_effects = []
-        flood, self.members.flood = self.members.flood, []
-        if flood:
-            self._queue_updates(flood, "")
+        pending_records, self.members.pending_records = (
+            self.members.pending_records,
+            [],
+        )
+        if pending_records:
+            self._queue_updates(pending_records, "")
         effect_count = len(self.config.pending_effects)
         self.pending_effects.extend(self.config.pending_effects)
         self.config.pending_effects = []
