--- a/libs/cli/src/trefoil_cli/client.py
+++ b/libs/cli/src/trefoil_cli/client.py
@@ -114,10 +114,10 @@
             Unreachable: No answer within ``TIMEOUT_S``.
             Refused: The process rejected the line.
         """
-        give_up_s = time.monotonic() + wait_s
+        deadline_s = time.monotonic() + wait_s
         while True:
             answer = self.send(line)
             pending = answer.get("outcome") == "pending"
-            if not pending or time.monotonic() >= give_up_s:
+            if not pending or time.monotonic() >= deadline_s:
                 return answer
             time.sleep(answer.get("retry_after_ms", 500) / 1000)
