--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -25,7 +25,7 @@
 # A comparison may last this many times longer while there is evidence against
 # the new version.
 COMPARE_EXTENSION_FACTOR = 3
-# A route with a smaller part of the requests doesn't delay the next step.
+# A route with a smaller part of the requests does not delay the next step.
 LOW_TRAFFIC_SHARE = 0.02
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Interval between two decisions on a move.
@@ -338,7 +338,7 @@
             has_evidence=self._has_evidence(),
             has_early_warning=self.comparison.has_early_warning(),
             is_clear=self.comparison.is_clear,
-            is_unfavorable=self.comparison.is_unfavorable,
+            is_unfavourable=self.comparison.is_unfavourable,
         )
 
     def grounds(
@@ -390,7 +390,7 @@
     def _has_evidence(self) -> bool:
         """Return whether each route had enough requests at this step.
 
-        A low-traffic route, with under 2% of the requests, doesn't delay the
+        A low-traffic route, with under 2% of the requests, does not delay the
         move, since the watch at full traffic covers it too.
         """
         new_counts = self.comparison.new_request_counts()
--- a/libs/moves/src/trefoil_moves/evidence.py
+++ b/libs/moves/src/trefoil_moves/evidence.py
@@ -98,7 +98,7 @@
     ``halted`` is set once the proxy has stopped sending to the new version.
     ``has_all_traffic`` is set while the new version has all the traffic.
     Reports are more frequent then, since each tenth of a second saved is a
-    tenth of a second of traffic that a bad version doesn't get.
+    tenth of a second of traffic that a bad version does not get.
     """
 
     __slots__ = (
--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """A sign of a fault in the new version that isn't proved yet.
+    """A sign of a fault in the new version that is not proved yet.
 
     Args:
         route: The route with the fault.
@@ -308,7 +308,7 @@
             comparison.new = evidences.Counts()
 
     def begin_clearance(self) -> None:
-        """Start collecting evidence in the new version's favor."""
+        """Start collecting evidence in the new version's favour."""
         pooled = self.by_route.get(ALL_ROUTES, RouteComparison())
         base_rate = _base_rate(pooled.old_total)
         self.clearance = sequential.Clearance(
@@ -323,7 +323,7 @@
         return self.clearance is not None and self.clearance.is_clear
 
     @property
-    def is_unfavorable(self) -> bool:
+    def is_unfavourable(self) -> bool:
         """Return whether more evidence is against the version than for it."""
         return self.clearance is not None and self.clearance.sum < 0
 
--- a/libs/moves/src/trefoil_moves/knobs.py
+++ b/libs/moves/src/trefoil_moves/knobs.py
@@ -92,8 +92,8 @@
         """Return the parameters of a profile.
 
         Args:
-            profile: ``in-time`` favors finishing good versions by the
-                deadline, ``cautious`` favors taking bad versions back; any
+            profile: ``in-time`` favours finishing good versions by the
+                deadline, ``cautious`` favours taking bad versions back; any
                 other value selects ``balanced``.
         """
         if profile == "in-time":
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -8,7 +8,7 @@
 requests at full traffic have cleared it, or just before the deadline unless
 they are evidence against it.
 
-The first steps don't exceed the share at risk (``risk_permille`` of a move).
+The first steps do not exceed the share at risk (``risk_permille`` of a move).
 Without a bound no step before the deadline skips this share. With a bound a
 larger share follows only once the later steps are due.
 """
@@ -56,7 +56,7 @@
         has_early_warning: Whether there is half of the evidence for a
             verdict against the new version.
         is_clear: Whether requests at full traffic cleared the version.
-        is_unfavorable: Whether these requests are more evidence against the
+        is_unfavourable: Whether these requests are more evidence against the
             version than for it.
     """
 
@@ -67,7 +67,7 @@
     has_evidence: bool
     has_early_warning: bool
     is_clear: bool
-    is_unfavorable: bool
+    is_unfavourable: bool
 
 
 class Pacing(typing.Protocol):
@@ -226,7 +226,7 @@
         if status.at_step_ms < move.watch_ms:
             return False
         if status.left_ms <= COMMIT_END_MS:
-            return not status.is_unfavorable
+            return not status.is_unfavourable
         return status.is_clear and status.left_ms <= CLEARED_END_MS
 
     def rollback_reason(
@@ -244,7 +244,7 @@
                 or status.left_ms <= COMMIT_END_MS
             )
             has_lasted = status.at_step_ms >= move.watch_ms
-            rejected = status.is_unfavorable and is_last_chance and has_lasted
+            rejected = status.is_unfavourable and is_last_chance and has_lasted
             return BUDGET_SPENT_REASON if rejected else ""
         cutoff_ms = self._remaining_steps_ms(move) / EARLY_WARNING_FACTOR
         is_late = status.left_ms <= cutoff_ms
--- a/libs/moves/src/trefoil_moves/sequential.py
+++ b/libs/moves/src/trefoil_moves/sequential.py
@@ -11,7 +11,7 @@
 The log ratios are added up in CUSUMs (cumulative sums that never fall below
 0), one for each r, and the CUSUMs are mixed. A version that turns bad late is
 detected as fast as one that is bad from the start, since a CUSUM discards
-evidence in its favor. Sources: Page (1954); Johari et al.,
+evidence in its favour. Sources: Page (1954); Johari et al.,
 "Always Valid Inference" (2015), for mixing over alternatives.
 """
 
@@ -92,7 +92,7 @@
 class Clearance:
     """Evidence that a failure rate is below that of a fault.
 
-    This is the lower bound of a sequential test: evidence in favor. It grows
+    This is the lower bound of a sequential test: evidence in favour. It grows
     with the number of requests, so a second without traffic adds nothing. The
     evidence is capped, so failures after many good requests count at once.
 
@@ -127,7 +127,7 @@
 class BaselineDetector:
     """A CUSUM of a rate against a known baseline.
 
-    It is used while the old version has no traffic to compare with. It can't
+    It is used while the old version has no traffic to compare with. It cannot
     distinguish a fault of both versions from one of the new version, so its
     alarm only starts a comparison.
 
--- a/libs/moves/tests/test_judge.py
+++ b/libs/moves/tests/test_judge.py
@@ -93,7 +93,7 @@
 def test_a_late_fault_is_detected_as_fast_as_an_early_one() -> None:
     """A version works for a minute, then one request in five fails.
 
-    Earlier evidence in its favor must not outweigh the new failures.
+    Earlier evidence in its favour must not outweigh the new failures.
     """
     good = make_window((95, 0), (20, 0))
     bad = make_window((95, 0), (20, 4))
--- a/libs/moves/tests/test_pacing.py
+++ b/libs/moves/tests/test_pacing.py
@@ -55,7 +55,7 @@
     has_evidence=True,
     has_early_warning=False,
     is_clear=False,
-    is_unfavorable=False,
+    is_unfavourable=False,
 )
 
 
@@ -71,7 +71,7 @@
 def test_a_step_beyond_the_share_at_risk_waits_until_it_is_due(
     left_ms: int, share: int
 ) -> None:
-    """Five seconds without a fault don't rule out one in the sixth second.
+    """Five seconds without a fault do not rule out one in the sixth second.
 
     So larger shares follow only as late as the deadline allows.
     """
@@ -152,7 +152,7 @@
         (50, 400, 2000, True),
     ],
 )
-def test_an_unfavorable_version_without_budget_is_taken_back(
+def test_an_unfavourable_version_without_budget_is_taken_back(
     new_requests: int, left_ms: int, at_step_ms: int, is_taken_back: bool
 ) -> None:
     """Too few requests fail for a verdict, but the budget is spent.
@@ -161,7 +161,7 @@
     """
     move = make_move(1000, phases.WATCH)
     watch_status = make_status(
-        at_step_ms=at_step_ms, left_ms=left_ms, is_unfavorable=True
+        at_step_ms=at_step_ms, left_ms=left_ms, is_unfavourable=True
     )
     assert (
         bool(
@@ -170,5 +170,7 @@
         is is_taken_back
     )
     assert not make_pacing(new_requests, 1500).is_accepted(move, watch_status)
-    favorable = dataclasses.replace(watch_status, is_unfavorable=False)
-    assert not make_pacing(new_requests, 1500).rollback_reason(move, favorable)
+    favourable = dataclasses.replace(watch_status, is_unfavourable=False)
+    assert not make_pacing(new_requests, 1500).rollback_reason(
+        move, favourable
+    )
--- a/libs/requests/src/trefoil_requests/attribution.py
+++ b/libs/requests/src/trefoil_requests/attribution.py
@@ -64,7 +64,7 @@
 
         Before the first request the share is 1, since a call that is taken
         for a caller's request would not be charged to any budget. Where all
-        hosts run the same services, calls can't be distinguished and the
+        hosts run the same services, calls cannot be distinguished and the
         share is 0.
 
         Args:
--- a/libs/requests/src/trefoil_requests/budget.py
+++ b/libs/requests/src/trefoil_requests/budget.py
@@ -29,7 +29,7 @@
     requests of that window: a repeat that arrives was either paid for within
     the window or in flight at its start, and a repeat in flight occupies its
     part of the reserve. A new budget starts empty, so proxies that restart in
-    turn don't spend their reserve twice.
+    turn do not spend their reserve twice.
 
     Args:
         ratio: Repeats allowed for each request.
--- a/libs/requests/src/trefoil_requests/entry.py
+++ b/libs/requests/src/trefoil_requests/entry.py
@@ -344,7 +344,7 @@
         """Handle an answer; drop one that is late or unknown.
 
         Each attempt has its own id, so an answer that arrives after a retry
-        or after the deadline can't be matched to another call.
+        or after the deadline cannot be matched to another call.
         """
         live = self._take_attempt(answer.request_id)
         if live is None:
@@ -464,7 +464,7 @@
         now_ms: int,
         now_us: int,
     ) -> None:
-        """Retry where that is safe: the answer can't be passed on."""
+        """Retry where that is safe: the answer cannot be passed on."""
         latency_us = now_us - live.sent_us
         self.placement.note_answered(live, answer, latency_us, now_ms)
         self._observe_failure(live, now_ms, now_us)
@@ -584,7 +584,7 @@
             return False
         usual_us = self.placement.usual_us(live.route)
         hedge_after_us = max(usual_us * HEDGE_FACTOR, MIN_HEDGE_WAIT_US)
-        # A hedge can't help an answer that waits for a link; its own answer
+        # A hedge cannot help an answer that waits for a link; its own answer
         # would queue for a link as well.
         hedge_after_us += self.balancer.link_wait_us(live.endpoint.key, now_ms)
         return usual_us > 0 and now_us - live.sent_us >= hedge_after_us
--- a/libs/requests/tests/test_warmup.py
+++ b/libs/requests/tests/test_warmup.py
@@ -33,7 +33,7 @@
 
 
 def test_a_wait_for_a_cold_target_is_known_in_advance() -> None:
-    """A request that can't start by its deadline is refused at once."""
+    """A request that cannot start in time is refused immediately."""
     warmup = warmups.Warmup(limit())
     warmup.announce(LASTS_MS, 0)
     gate = admission.AdmissionController(SLOTS, warmup)
--- a/libs/settings/src/trefoil_settings/settings.py
+++ b/libs/settings/src/trefoil_settings/settings.py
@@ -139,9 +139,9 @@
         election_ms: Minimum time without a leader before an election.
         snapshot_entries: Number of log entries after which a snapshot is
             taken.
-        profile: Profile of moves: ``balanced``, ``in-time``, which favors
+        profile: Profile of moves: ``balanced``, ``in-time``, which favours
             finishing good versions by the deadline, or ``cautious``, which
-            favors taking bad versions back.
+            favours taking bad versions back.
         moves: Parameters of moves that override the profile.
         join: Addresses of control hosts through which the others are found,
             if ``controls`` is not given. Hosts are then named by their IP
