--- a/libs/fleet/src/trefoil_fleet/node.py
+++ b/libs/fleet/src/trefoil_fleet/node.py
@@ -233,14 +233,16 @@
             0 to serve it, otherwise the time it should wait, in
             milliseconds.
         """
-        gained = (now_ms - self.join_ms) * self.joins_per_s / 1000
-        self.join_tokens = min(self.join_tokens + gained, float(JOIN_BURST))
+        new_tokens = (now_ms - self.join_ms) * self.joins_per_s / 1000
+        self.join_tokens = min(
+            self.join_tokens + new_tokens, float(JOIN_BURST)
+        )
         self.join_ms = now_ms
         exempt = hello.control or hello.host in self.overlay.seeds
         if self.join_tokens >= 1 or exempt:
             self.join_tokens -= 1
             return 0
-        # Serving many joining peers at once would delay the heartbeats of
+        # Serving many joining peers together would delay the heartbeats of
         # linked peers, which would then disconnect and join again as well.
         wait_ms = 1000 + 1000 * abs(self.join_tokens) / self.joins_per_s
         return int(wait_ms * self.rng.uniform(0.5, 1.5))
@@ -397,9 +399,12 @@
     def _flush(self) -> list[typing.Any]:
         self.pending_effects.extend(self.members.pending_effects)
         self.members.pending_effects = []
-        flood, self.members.flood = self.members.flood, []
-        if flood:
-            self._queue_updates(flood, "")
+        pending_records, self.members.pending_records = (
+            self.members.pending_records,
+            [],
+        )
+        if pending_records:
+            self._queue_updates(pending_records, "")
         effect_count = len(self.config.pending_effects)
         self.pending_effects.extend(self.config.pending_effects)
         self.config.pending_effects = []
@@ -664,10 +669,14 @@
 
     def _is_behind(self, summary: messages.RecordsSummary) -> bool:
         unknown = (-1, -1, -1)
-        for theirs in summary.versions:
-            own = self.members.records.get(theirs.host)
-            mine = record_store.version_of(own) if own else unknown
-            if (theirs.incarnation, theirs.sequence, theirs.state) > mine:
+        for peer_version in summary.versions:
+            own = self.members.records.get(peer_version.host)
+            own_version = record_store.version_of(own) if own else unknown
+            if (
+                peer_version.incarnation,
+                peer_version.sequence,
+                peer_version.state,
+            ) > own_version:
                 return True
         return False
 
--- a/libs/moves/src/trefoil_moves/conductor.py
+++ b/libs/moves/src/trefoil_moves/conductor.py
@@ -25,7 +25,7 @@
 # A comparison may last this many times longer while there is evidence against
 # the new version.
 COMPARE_EXTENSION_FACTOR = 3
-# A route with a smaller part of the requests doesn't delay the next step.
+# A route with a smaller part of the requests does not delay the next step.
 LOW_TRAFFIC_SHARE = 0.02
 FULL_PERMILLE = exposures.FULL_PERMILLE
 # Interval between two decisions on a move.
@@ -265,7 +265,7 @@
         return self.parameters.window_ms
 
     def _can_begin_clearance(self, now_ms: int) -> bool:
-        """Tell whether the collection of evidence for clearance can begin.
+        """Return whether the collection of evidence for clearance can begin.
 
         Reports must cover only requests at full traffic, so the share must
         have reached every proxy, and a report interval must have passed
@@ -338,7 +338,7 @@
             has_evidence=self._has_evidence(),
             has_early_warning=self.comparison.has_early_warning(),
             is_clear=self.comparison.is_clear,
-            is_unfavorable=self.comparison.is_unfavorable,
+            is_unfavourable=self.comparison.is_unfavourable,
         )
 
     def grounds(
@@ -388,9 +388,9 @@
         )
 
     def _has_evidence(self) -> bool:
-        """Tell whether each route had enough requests at this step.
+        """Return whether each route had enough requests at this step.
 
-        A low-traffic route, with under 2% of the requests, doesn't delay the
+        A low-traffic route, with under 2% of the requests, does not delay the
         move, since the watch at full traffic covers it too.
         """
         new_counts = self.comparison.new_request_counts()
@@ -432,7 +432,7 @@
         return None
 
     def _needs_comparison(self, suspicion: comparisons.Suspicion) -> bool:
-        """Tell whether a suspicion needs a comparison before a rollback.
+        """Return whether a suspicion needs a comparison before a rollback.
 
         At full traffic each failure hits a request, so a move of seconds is
         taken back for failures without a comparison. Latency often grows for
--- a/libs/moves/src/trefoil_moves/judge.py
+++ b/libs/moves/src/trefoil_moves/judge.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """A sign of a fault in the new version that isn't proved yet.
+    """A sign of a fault in the new version that is not proved yet.
 
     Args:
         route: The route with the fault.
@@ -308,7 +308,7 @@
             comparison.new = evidences.Counts()
 
     def begin_clearance(self) -> None:
-        """Start collecting evidence in the new version's favor."""
+        """Start collecting evidence in the new version's favour."""
         pooled = self.by_route.get(ALL_ROUTES, RouteComparison())
         base_rate = _base_rate(pooled.old_total)
         self.clearance = sequential.Clearance(
@@ -319,12 +319,12 @@
 
     @property
     def is_clear(self) -> bool:
-        """Tell whether the evidence clears the new version."""
+        """Return whether the evidence clears the new version."""
         return self.clearance is not None and self.clearance.is_clear
 
     @property
-    def is_unfavorable(self) -> bool:
-        """Tell whether more evidence is against the version than for it."""
+    def is_unfavourable(self) -> bool:
+        """Return whether more evidence is against the version than for it."""
         return self.clearance is not None and self.clearance.sum < 0
 
     def _add_to_clearance(self, window: evidences.Window) -> None:
@@ -393,7 +393,7 @@
         return base_bucket >= 0 and tail_bucket - base_bucket >= TAIL_BUCKETS
 
     def has_early_warning(self) -> bool:
-        """Tell whether a test has half of the evidence for a verdict."""
+        """Return whether a test has half of the evidence for a verdict."""
         half = self.threshold / 2
         return any(
             max(comparison.failures.evidence, comparison.slowness.evidence)
--- a/libs/moves/src/trefoil_moves/pacing.py
+++ b/libs/moves/src/trefoil_moves/pacing.py
@@ -8,7 +8,7 @@
 requests at full traffic have cleared it, or just before the deadline unless
 they are evidence against it.
 
-The first steps don't exceed the share at risk (``risk_permille`` of a move).
+The first steps do not exceed the share at risk (``risk_permille`` of a move).
 Without a bound no step before the deadline skips this share. With a bound a
 larger share follows only once the later steps are due.
 """
@@ -56,7 +56,7 @@
         has_early_warning: Whether there is half of the evidence for a
             verdict against the new version.
         is_clear: Whether requests at full traffic cleared the version.
-        is_unfavorable: Whether these requests are more evidence against the
+        is_unfavourable: Whether these requests are more evidence against the
             version than for it.
     """
 
@@ -67,7 +67,7 @@
     has_evidence: bool
     has_early_warning: bool
     is_clear: bool
-    is_unfavorable: bool
+    is_unfavourable: bool
 
 
 class Pacing(typing.Protocol):
@@ -84,7 +84,7 @@
     def is_accepted(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> bool:
-        """Tell whether the watch at full traffic may end in success."""
+        """Return whether the watch at full traffic may end in success."""
 
     def rollback_reason(
         self, move: messages.MoveRecord, status: MoveStatus
@@ -128,7 +128,7 @@
     def is_accepted(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> bool:
-        """Tell whether the watch has lasted as long as requested."""
+        """Return whether the watch has lasted as long as requested."""
         return status.at_step_ms >= move.watch_ms
 
     def rollback_reason(
@@ -215,7 +215,7 @@
     def is_accepted(
         self, move: messages.MoveRecord, status: MoveStatus
     ) -> bool:
-        """Tell whether requests at full traffic have cleared the version.
+        """Return whether requests at full traffic have cleared the version.
 
         A watch of fixed length accepts bad versions before their first
         failures are reported, and an accepted version is no longer watched.
@@ -226,7 +226,7 @@
         if status.at_step_ms < move.watch_ms:
             return False
         if status.left_ms <= COMMIT_END_MS:
-            return not status.is_unfavorable
+            return not status.is_unfavourable
         return status.is_clear and status.left_ms <= CLEARED_END_MS
 
     def rollback_reason(
@@ -244,14 +244,14 @@
                 or status.left_ms <= COMMIT_END_MS
             )
             has_lasted = status.at_step_ms >= move.watch_ms
-            rejected = status.is_unfavorable and is_last_chance and has_lasted
+            rejected = status.is_unfavourable and is_last_chance and has_lasted
             return BUDGET_SPENT_REASON if rejected else ""
         cutoff_ms = self._remaining_steps_ms(move) / EARLY_WARNING_FACTOR
         is_late = status.left_ms <= cutoff_ms
         return NO_TIME_REASON if is_late and status.has_early_warning else ""
 
     def _is_budget_spent(self, status: MoveStatus) -> bool:
-        """Tell whether a fault from now on would exceed the budget."""
+        """Return whether a fault from now on would exceed the budget."""
         left_ms = self.exposure.remaining_ms(status.counted_ms)
         return left_ms <= status.detection_delay_ms
 
--- a/libs/requests/src/trefoil_requests/budget.py
+++ b/libs/requests/src/trefoil_requests/budget.py
@@ -29,7 +29,7 @@
     requests of that window: a repeat that arrives was either paid for within
     the window or in flight at its start, and a repeat in flight occupies its
     part of the reserve. A new budget starts empty, so proxies that restart in
-    turn don't spend their reserve twice.
+    turn do not spend their reserve twice.
 
     Args:
         ratio: Repeats allowed for each request.
@@ -68,8 +68,8 @@
                 already paid for.
         """
         self.requests += 1
-        room = self.reserve - self.in_flight - self.tokens
-        self.tokens += min(self.ratio * (1 - repeat), max(room, 0.0))
+        available = self.reserve - self.in_flight - self.tokens
+        self.tokens += min(self.ratio * (1 - repeat), max(available, 0.0))
         self.tokens -= repeat * CALL_PRICE
         self.spent[Cause.CALLED] += repeat
 
