--- a/libs/daemon/src/trefoil_daemon/control_process.py
+++ b/libs/daemon/src/trefoil_daemon/control_process.py
@@ -345,8 +345,8 @@
 
         Some hosts are founders and the others join later. A majority of the
         founders alone may be no more disks than the number that may be lost
-        at once; a majority of all voters is at least one more. Waiting
-        commands are retried on each tick.
+        at the same time; a majority of all voters is at least one more.
+        Waiting commands are retried on each tick.
         """
         if self.state.items.revision:
             return False
--- a/libs/daemon/src/trefoil_daemon/evacuations.py
+++ b/libs/daemon/src/trefoil_daemon/evacuations.py
@@ -53,7 +53,7 @@
 class EvacuationCalls:
     """Submits evacuation calls as commands until they are answered.
 
-    While this host is frozen, a call may wait unread and its caller may
+    While this host is suspended, a call may wait unread and its caller may
     disconnect and get its answer from another host. Calls are therefore held
     until such a disconnection would be detected.
 
--- a/libs/daemon/src/trefoil_daemon/hub.py
+++ b/libs/daemon/src/trefoil_daemon/hub.py
@@ -26,7 +26,8 @@
 # applies until the next request is sent.
 SLOW_PING_INTERVAL_MS = 600
 # A round trip takes milliseconds and a process answers within one 50 ms tick.
-# A longer delay means that the process is frozen or the network partitioned.
+# A longer delay means that the process is suspended or the network is
+# partitioned.
 UNRESPONSIVE_AFTER_MS = 200
 PING_TIMEOUT_MS = 1000
 # Idle connections are closed because their number grows with the square of
--- a/libs/daemon/src/trefoil_daemon/logs.py
+++ b/libs/daemon/src/trefoil_daemon/logs.py
@@ -21,8 +21,9 @@
     "at={record.time:%Y-%m-%dT%H:%M:%S.%f}Z "
     "level={record.level_name} {record.message}"
 )
-# Lines per second for each event. A dozen events at once add up to about 200
-# lines per second; the first twenty of an event are enough to find its cause.
+# Lines per second for each event. A dozen events at the same time add up to
+# about 200 lines per second; the first twenty of an event are enough to find
+# its cause.
 MAX_LINES_PER_SECOND = 20
 WINDOW_S = 1.0
 
--- a/libs/daemon/src/trefoil_daemon/proxy_process.py
+++ b/libs/daemon/src/trefoil_daemon/proxy_process.py
@@ -508,8 +508,9 @@
 
         The lease of a dead target lasts for seconds more. Requests would be
         sent to it, refused and retried until the service's retry budget is
-        spent and callers see refusals. The target is therefore dropped at
-        once; if it is alive, its next renewal adds it again within a second.
+        spent and callers see refusals. The target is therefore dropped
+        immediately; if it is alive, its next renewal adds it again within a
+        second.
         """
         entry = self.targets.running.get(request_id)
         self.perform(
@@ -678,8 +679,8 @@
 
 @execute.register
 def _(effect: fleet_effects.RecordsChanged, process: ProxyProcess) -> None:
-    # Routing is updated at the next tick: when many hosts return at once, the
-    # endpoints would otherwise be rebuilt for every record.
+    # Routing is updated at the next tick: when many hosts return at the same
+    # time, the endpoints would otherwise be rebuilt for every record.
     process.records_dirty = True
 
 
--- a/libs/daemon/src/trefoil_daemon/slot_metrics.py
+++ b/libs/daemon/src/trefoil_daemon/slot_metrics.py
@@ -18,8 +18,8 @@
         is_counter=False,
     )
     for target in targets:
-        name, gate = target.record.name, target.slots
-        slots.add(gate.slots, target=name, state="all")
-        slots.add(gate.running, target=name, state="running")
-        slots.add(len(gate.queue), target=name, state="queued")
+        name, controller = target.record.name, target.slots
+        slots.add(controller.slots, target=name, state="all")
+        slots.add(controller.running, target=name, state="running")
+        slots.add(len(controller.queue), target=name, state="queued")
     return [slots]
--- a/libs/daemon/tests/test_edges.py
+++ b/libs/daemon/tests/test_edges.py
@@ -79,7 +79,7 @@
         self.streams: list[Stream] = []
 
     def connect(self, address: str, on_open: typing.Any) -> Stream:
-        """Return a stream that is connected at once."""
+        """Return a stream that is connected immediately."""
         stream = Stream()
         stream.on_open = on_open
         self.streams.append(stream)
--- a/libs/daemon/tests/test_evacuations.py
+++ b/libs/daemon/tests/test_evacuations.py
@@ -91,7 +91,7 @@
 
 
 def test_a_call_whose_caller_disconnected_is_not_run() -> None:
-    """The host was frozen; another answered and the caller disconnected."""
+    """The host was suspended; another answered and the caller disconnected."""
     net = control_net.founded_network()
     caller = Caller()
     caller.ask(net, follower_of(net))
--- a/libs/daemon/tests/test_proxy_process.py
+++ b/libs/daemon/tests/test_proxy_process.py
@@ -348,7 +348,7 @@
 
 
 def test_out_of_order_answers_reach_their_callers() -> None:
-    """Several calls run at once and their targets answer in any order."""
+    """Several calls run concurrently; their targets answer in any order."""
     net = Net()
     numbers = {net.call("h1", "/read", f"n{n}"): f"n{n}" for n in range(7)}
     net.deliver_all()
@@ -693,7 +693,7 @@
 
 
 def test_both_attempts_of_a_hedged_call_get_its_body() -> None:
-    """A read with a large body runs at two hosts at once."""
+    """A read with a large body runs at two hosts concurrently."""
     net = Net(hosts=["h1", "h2", "h3"])
     start_upload(net, "/read")
     net.deliver_all()
@@ -787,7 +787,7 @@
 
 
 def test_a_call_before_the_configuration_is_served_in_time() -> None:
-    """All proxies start at once, with callers already present.
+    """All proxies start at the same time, with callers already present.
 
     Calls were refused for 0.3 s until the floor was confirmed, and retries
     came too late for the callers' deadlines. Calls now wait for the
